--- a/internal/decay/decay.go
+++ b/internal/decay/decay.go
@@ -1,4 +1,4 @@
-// Package decay has a number that fades with time.
+// Package decay implements a value that decays exponentially with time.
 package decay
 
 import (
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// Value is a number that fades exponentially. The zero value is zero and stays so.
+// Value is a number that decays exponentially. The zero value is zero at all times.
 type Value struct {
 	amount float64
 	set    time.Time
 }
 
-// Of returns a Value that is an amount at a moment.
+// Of returns a Value with the given amount at a time.
 func Of(amount float64, now time.Time) Value { return Value{amount: amount, set: now} }
 
-// At returns what is left at a moment, if the value falls to a part of 1/e within life.
-func (v Value) At(now time.Time, life time.Duration) float64 {
+// At returns the remaining amount at a time. It decays to 1/e of itself within timeConstant.
+func (v Value) At(now time.Time, timeConstant time.Duration) float64 {
 	if v.amount == 0 {
 		return 0
 	}
-	return v.amount * math.Exp(-now.Sub(v.set).Seconds()/life.Seconds())
+	return v.amount * math.Exp(-now.Sub(v.set).Seconds()/timeConstant.Seconds())
 }
--- a/internal/decay/decay_test.go
+++ b/internal/decay/decay_test.go
@@ -14,10 +14,10 @@
 		left  float64
 	}{{0, 100}, {10 * time.Second, 100 / math.E}, {20 * time.Second, 100 / (math.E * math.E)}} {
 		if left := value.At(now.Add(c.after), 10*time.Second); math.Abs(left-c.left) > 1e-9 {
-			t.Errorf("%v is left after %v, want %v", left, c.after, c.left)
+			t.Errorf("amount %v after %v, want %v", left, c.after, c.left)
 		}
 	}
 	if left := (Value{}).At(now, time.Second); left != 0 {
-		t.Errorf("%v is left of nothing", left)
+		t.Errorf("amount %v of the zero value, want 0", left)
 	}
 }
--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -12,8 +12,8 @@
 	"github.com/covelink/covelink/internal/routing"
 )
 
-// read takes in an answer. An answer that is passed on as it arrives keeps the attempt's context until it is closed.
-func (j *job) read(ctx context.Context, engine *fleet.Engine, answer *Answer, cancel context.CancelFunc) (Result, error) {
+// readAnswer reads an engine's response. The attempt's context stays open until the body of a streamed response is closed.
+func (j *job) readAnswer(ctx context.Context, engine *fleet.Engine, answer *Answer, cancel context.CancelFunc) (Result, error) {
 	result := Result{Outcome: Completed, Status: answer.Status, Header: answer.Header, Signature: answer.Signature}
 	success := answer.Status >= 200 && answer.Status < 300
 	if success && !answer.Valid {
@@ -21,11 +21,11 @@
 		return Result{}, ErrLost
 	}
 	if success && j.route.Kind == routing.KindStream {
-		result.Stream = &streamBody{ReadCloser: answer.Body, cancel: cancel, ended: func(err error) { j.streamEnded(ctx, engine, err) }}
+		result.Stream = &streamBody{ReadCloser: answer.Body, cancel: cancel, onEnd: func(err error) { j.streamEnded(ctx, engine, err) }}
 		return result, nil
 	}
 	defer answer.Body.Close()
-	content, err := io.ReadAll(io.LimitReader(answer.Body, maxAnswer))
+	content, err := io.ReadAll(io.LimitReader(answer.Body, maxAnswerBytes))
 	if err != nil {
 		return Result{}, errors.Join(ErrBroken, err)
 	}
@@ -36,7 +36,7 @@
 	return result, nil
 }
 
-// streamEnded takes in how an answer ended that was passed on as it arrived.
+// streamEnded reports to the guard how a streamed response ended.
 func (j *job) streamEnded(ctx context.Context, engine *fleet.Engine, err error) {
 	switch {
 	case errors.Is(err, io.EOF):
@@ -46,20 +46,20 @@
 	}
 }
 
-// streamBody ends an attempt's context with its body, and tells how that ended.
+// streamBody cancels the attempt's context when the body is closed, and reports how the stream ended.
 type streamBody struct {
 	io.ReadCloser
 	cancel context.CancelFunc
-	// ended is called with the first error that a read returns, io.EOF among them; nil after that.
-	ended func(err error)
+	// onEnd is called once, with the first error that Read returns, io.EOF included.
+	onEnd func(err error)
 }
 
 // Read implements io.Reader.
 func (b *streamBody) Read(into []byte) (int, error) {
 	n, err := b.ReadCloser.Read(into)
-	if err != nil && b.ended != nil {
-		b.ended(err)
-		b.ended = nil
+	if err != nil && b.onEnd != nil {
+		b.onEnd(err)
+		b.onEnd = nil
 	}
 	return n, err
 }
@@ -70,38 +70,38 @@
 	return b.ReadCloser.Close()
 }
 
-// noteBegan notes an attempt that ran or may have run.
-func (j *job) noteBegan(sent time.Time) {
-	if j.beganAt.IsZero() {
-		j.beganAt = sent
+// recordExecution sets executedAt for the first attempt that ran or may have run.
+func (j *job) recordExecution(sent time.Time) {
+	if j.executedAt.IsZero() {
+		j.executedAt = sent
 	}
 }
 
-// tellBegan tells of the request if an engine began to run it, of a stream once it has its first byte.
-func (j *job) tellBegan(result *Result) {
-	if j.Began == nil || j.request.Tenant == "" || j.beganAt.IsZero() {
+// reportExecution calls Began if an engine ran or may have run the request; for a stream, at its first byte.
+func (j *job) reportExecution(result *Result) {
+	if j.Began == nil || j.request.Tenant == "" || j.executedAt.IsZero() {
 		return
 	}
 	if result.Stream == nil {
-		j.Began(j.request.Tenant, j.beganAt)
+		j.Began(j.request.Tenant, j.executedAt)
 		return
 	}
 	tenant := j.request.Tenant
-	result.Stream = &firstByteBody{ReadCloser: result.Stream, first: func() { j.Began(tenant, boottime.Now()) }}
+	result.Stream = &firstByteBody{ReadCloser: result.Stream, onFirstByte: func() { j.Began(tenant, boottime.Now()) }}
 }
 
-// firstByteBody tells of the first byte that is read.
+// firstByteBody calls onFirstByte when the first byte is read.
 type firstByteBody struct {
 	io.ReadCloser
-	first func()
+	onFirstByte func()
 }
 
 // Read implements io.Reader.
 func (b *firstByteBody) Read(into []byte) (int, error) {
 	n, err := b.ReadCloser.Read(into)
-	if n > 0 && b.first != nil {
-		b.first()
-		b.first = nil
+	if n > 0 && b.onFirstByte != nil {
+		b.onFirstByte()
+		b.onFirstByte = nil
 	}
 	return n, err
 }
--- a/internal/forward/crashing_test.go
+++ b/internal/forward/crashing_test.go
@@ -19,41 +19,41 @@
 	"github.com/covelink/covelink/internal/routing"
 )
 
-// The pool is one of four engines whose lookups take 25 ms and whose reward calls take 80 ms, at seven gateways.
+// The simulated pool has four engines and seven gateways.
 const (
 	poolGateways, poolEngines = 7, 4
-	// crashAfter is how long an engine runs a crashing request before it ends, and engineAway how long it is away then.
+	// crashAfter is how long an engine runs a crashing request before it ends, and engineAway how long its restart takes.
 	crashAfter, engineAway = 50 * time.Millisecond, 3 * time.Second
-	// listDelay is how long after its start an engine is listed, and delistDelay how long after its end it is taken off.
+	// listDelay is the delay from an engine's start to its listing, and delistDelay that from its end to its removal.
 	listDelay, delistDelay = 500 * time.Millisecond, 3600 * time.Millisecond
 	lookupWork, rewardWork = 25 * time.Millisecond, 80 * time.Millisecond
 	lookupsPerSecond       = 6
 	rewardsPerSecond       = 40
-	// tellDelay is how long one gateway's findings take to reach the others.
-	tellDelay = 10 * time.Millisecond
-	// crashingTries is how often the crashing request comes, every crashingPause.
+	// syncDelay is how long one gateway's findings take to reach the others.
+	syncDelay = 10 * time.Millisecond
+	// crashingTries is the number of crashing requests; one is sent every crashingPause.
 	crashingTries = 24
 	crashingPause = 500 * time.Millisecond
 )
 
-// way is how much the gateways know of requests under which engines have ended.
-type way int
+// guardMode is how gateways detect requests that crash engines.
+type guardMode int
 
 const (
-	wayNothing way = iota
-	// wayAlone: each gateway knows what it has seen itself.
-	wayAlone
-	// wayShared: each knows what all have seen.
-	wayShared
+	guardNone guardMode = iota
+	// guardLocal gateways know only their own observations.
+	guardLocal
+	// guardShared gateways share their observations.
+	guardShared
 )
 
-// crashPool is a Transport to engines that end under crashing requests, and are started again.
+// crashPool is a Transport to engines that end under crashing requests and are restarted.
 type crashPool struct {
 	mu      sync.Mutex
 	engines []*crashEngine
 	states  []*fleet.State
 	ends    int
-	// runs are those of the crashing request, by when they began.
+	// runs holds the start times of the crashing request.
 	runs []time.Time
 }
 
@@ -61,10 +61,10 @@
 type crashEngine struct {
 	start int
 	name  string
-	// alive ends with the start; it has ended while the engine is away.
+	// alive is canceled when the current start ends.
 	alive context.Context
 	crash context.CancelFunc
-	// listed is the ID under which it is on the list; empty if it is not.
+	// listed is the ID under which the engine is listed; empty if it is not listed.
 	listed string
 }
 
@@ -84,12 +84,12 @@
 		state.SetRoutes(routing.NewTable(1, []routing.Route{route}, nil, routing.Limits{}))
 		p.states = append(p.states, state)
 	}
-	p.tell()
+	p.publish()
 	return p
 }
 
-// tell shows the list to all gateways. The mutex must be held, or nobody else use the pool.
-func (p *crashPool) tell() {
+// publish sends the engine list to all gateways. The mutex must be held, or the pool not yet shared.
+func (p *crashPool) publish() {
 	var listed []*fleet.Engine
 	for _, engine := range p.engines {
 		if engine.listed != "" {
@@ -109,7 +109,7 @@
 			return engine, engine.alive
 		}
 	}
-	panic("no such engine")
+	panic("engine is not in the pool")
 }
 
 // Send implements Transport.
@@ -135,7 +135,7 @@
 	return workOn(ctx, alive, work)
 }
 
-// workOn answers after the time that the work takes, unless the engine or the caller ends first.
+// workOn responds after the given time, unless the engine or the caller ends first.
 func workOn(ctx, alive context.Context, work time.Duration) (*Answer, error) {
 	timer := time.NewTimer(work)
 	defer timer.Stop()
@@ -157,7 +157,7 @@
 	return quarantine.EngineListens
 }
 
-// end ends a start of an engine, and starts it again later.
+// end ends a start of an engine and schedules its restart.
 func (p *crashPool) end(engine *crashEngine, alive context.Context) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -184,22 +184,22 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	do()
-	p.tell()
+	p.publish()
 }
 
-// crashFigures are what a play showed.
-type crashFigures struct {
+// crashStats are the results of one simulation.
+type crashStats struct {
 	ends int
-	// late are the runs of the crashing request later than 3 s after the third end.
+	// late counts the runs of the crashing request later than 3 s after the third end.
 	late int
-	// served, failed and refused count the others' requests by their last try, refusedHeld those refused as held.
+	// served, failed and refused count the other requests by their last attempt; refusedHeld counts those refused as quarantined.
 	served, failed, refused, refusedHeld int
-	// delayed counts those that took longer than 150 ms.
+	// delayed counts the requests that took longer than 150 ms.
 	delayed int
 }
 
-// playCrashes sends a request that ends engines to gateways in turn, among lookups and reward calls.
-func playCrashes(way way, seed uint64) crashFigures {
+// simulateCrashes sends a crashing request to random gateways, among lookups and reward calls.
+func simulateCrashes(mode guardMode, seed uint64) crashStats {
 	random := rand.New(rand.NewPCG(seed, 1))
 	pool := newCrashPool()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -209,7 +209,7 @@
 	for i := range poolGateways {
 		forwarder := New(pool.states[i], pool, NewPicker(time.Now), log.NewNopLogger())
 		table := quarantine.NewTable(time.Now)
-		if way != wayNothing {
+		if mode != guardNone {
 			forwarder.Guard = quarantine.NewGuard(quarantine.GuardParams{
 				Table:    table,
 				Detector: quarantine.NewDetector(quarantine.DetectorParams{Prober: pool, Logger: log.NewNopLogger()}),
@@ -219,14 +219,14 @@
 		}
 		gateways, tables = append(gateways, forwarder), append(tables, table)
 	}
-	if way == wayShared {
+	if mode == guardShared {
 		for _, table := range tables {
 			running.Go(func() { shareTable(ctx, table, tables) })
 		}
 	}
 	var mu sync.Mutex
-	var figures crashFigures
-	play := func(target string, number int, retries int) {
+	var stats crashStats
+	send := func(target string, number int, retries int) {
 		started := time.Now()
 		request := &Request{ID: "r", Method: http.MethodPost, Host: "h", Target: target, Body: fmt.Append(nil, number)}
 		var result Result
@@ -245,33 +245,33 @@
 		if target == "/crash" {
 			return
 		}
-		figures.count(result, time.Since(started))
+		stats.count(result, time.Since(started))
 	}
 	running.Go(func() {
-		everyPause(ctx, time.Second/lookupsPerSecond, func(n int) { running.Go(func() { play("/lookup", n, 1) }) })
+		callEvery(ctx, time.Second/lookupsPerSecond, func(n int) { running.Go(func() { send("/lookup", n, 1) }) })
 	})
 	running.Go(func() {
-		everyPause(ctx, time.Second/rewardsPerSecond, func(n int) { running.Go(func() { play("/reward", n, 8) }) })
+		callEvery(ctx, time.Second/rewardsPerSecond, func(n int) { running.Go(func() { send("/reward", n, 8) }) })
 	})
 	for range crashingTries {
 		pause.For(ctx, crashingPause)
-		running.Go(func() { play("/crash", 0, 0) })
+		running.Go(func() { send("/crash", 0, 0) })
 	}
 	pause.For(ctx, 2*engineAway)
 	cancel()
 	running.Wait()
-	figures.ends = pool.ends
+	stats.ends = pool.ends
 	if len(pool.runs) >= 3 {
 		for _, run := range pool.runs {
 			if run.After(pool.runs[2].Add(crashAfter + 3*time.Second)) {
-				figures.late++
+				stats.late++
 			}
 		}
 	}
-	return figures
+	return stats
 }
 
-func (f *crashFigures) count(result Result, took time.Duration) {
+func (f *crashStats) count(result Result, took time.Duration) {
 	switch {
 	case result.Outcome == Completed:
 		f.served++
@@ -288,7 +288,7 @@
 	}
 }
 
-// grantFrom grants trials from one table, as the coordinating process does from its own.
+// grantFrom grants trials from one table, as the coordinator does from its own.
 func grantFrom(table *quarantine.Table) func(context.Context, quarantine.Record) (quarantine.TrialReply, error) {
 	return func(_ context.Context, known quarantine.Record) (quarantine.TrialReply, error) {
 		wait := table.Status(known.Fingerprint).Wait
@@ -299,14 +299,14 @@
 	}
 }
 
-// shareTable tells the other gateways what one finds out.
+// shareTable merges the findings of one gateway into the tables of the others.
 func shareTable(ctx context.Context, table *quarantine.Table, all []*quarantine.Table) {
 	var cursor quarantine.Cursor
 	for ctx.Err() == nil {
 		found, changed := table.Found(cursor)
 		cursor = found.Cursor
 		if len(found.Records) > 0 {
-			pause.For(ctx, tellDelay)
+			pause.For(ctx, syncDelay)
 			for _, other := range all {
 				other.Merge(found.Records)
 			}
@@ -318,40 +318,40 @@
 	}
 }
 
-func everyPause(ctx context.Context, length time.Duration, do func(n int)) {
+func callEvery(ctx context.Context, length time.Duration, do func(n int)) {
 	for n := 0; ctx.Err() == nil; n++ {
 		do(n)
 		pause.For(ctx, length)
 	}
 }
 
-// A request that ends each engine that begins to run it comes to seven gateways in turn, 24 times in 12 s. Without a guard it ends engines for
-// as long as it comes; what each gateway knows alone grows with the number of gateways; only what they tell each other bounds it.
+// TestCrashingRequestAtManyGateways guards against a crashing request that ends engines at one gateway after another because gateways do not
+// share what they observed.
 func TestCrashingRequestAtManyGateways(t *testing.T) {
-	ways := map[way]string{wayNothing: "no guard", wayAlone: "each gateway alone", wayShared: "shared"}
-	totals := make(map[way]crashFigures)
+	modes := map[guardMode]string{guardNone: "no guard", guardLocal: "each gateway alone", guardShared: "shared"}
+	totals := make(map[guardMode]crashStats)
 	for seed := range uint64(10) {
-		for way := range ways {
+		for mode := range modes {
 			synctest.Test(t, func(t *testing.T) {
-				figures := playCrashes(way, seed)
-				if way == wayShared && (figures.ends > 5 || figures.late > 3) {
-					t.Errorf("seed %d: %d engines ended, %d runs later than 3 s after the third end", seed, figures.ends, figures.late)
+				stats := simulateCrashes(mode, seed)
+				if mode == guardShared && (stats.ends > 5 || stats.late > 3) {
+					t.Errorf("seed %d: %d engines ended, %d runs later than 3 s after the third end", seed, stats.ends, stats.late)
 				}
-				if way == wayShared && figures.refusedHeld > 0 {
-					t.Errorf("seed %d: %d requests of others were refused as held", seed, figures.refusedHeld)
+				if mode == guardShared && stats.refusedHeld > 0 {
+					t.Errorf("seed %d: %d requests of others were refused as held", seed, stats.refusedHeld)
 				}
-				total := totals[way]
-				total.add(figures)
-				totals[way] = total
+				total := totals[mode]
+				total.add(stats)
+				totals[mode] = total
 			})
 		}
 	}
-	for way, name := range ways {
-		t.Logf("%s: %+v", name, totals[way])
+	for mode, name := range modes {
+		t.Logf("%s: %+v", name, totals[mode])
 	}
 }
 
-func (f *crashFigures) add(other crashFigures) {
+func (f *crashStats) add(other crashStats) {
 	f.ends += other.ends
 	f.late += other.late
 	f.served += other.served
--- a/internal/forward/turn_test.go
+++ b/internal/forward/decision_test.go
@@ -16,23 +16,23 @@
 	"github.com/covelink/covelink/internal/routing"
 )
 
-// loadBench is a Forwarder to engines of a script, by one repeatable route with an objective of 200 ms.
-type loadBench struct {
-	*script
+// dispatchHarness is a Forwarder to scripted engines, with one repeatable route whose latency objective is 200 ms.
+type dispatchHarness struct {
+	*scriptedTransport
 	forwarder *Forwarder
 	state     *fleet.State
 }
 
-func newLoadBench(does map[string]action, engines ...string) *loadBench {
-	b := &loadBench{script: &script{does: does}, state: fleet.NewState()}
+func newDispatchHarness(actions map[string]action, engines ...string) *dispatchHarness {
+	b := &dispatchHarness{scriptedTransport: &scriptedTransport{actions: actions}, state: fleet.NewState()}
 	route := routing.Route{Host: "h", Prefix: "/", Kind: routing.KindIdempotent, Targets: []routing.Target{{Service: "s", Weight: 1}}, MaxAttempts: 4, LatencyObjective: 200 * time.Millisecond}
 	b.state.SetRoutes(routing.NewTable(1, []routing.Route{route}, nil, routing.Limits{}))
 	b.list(engines...)
-	b.forwarder = New(b.state, b.script, NewPicker(time.Now), log.NewNopLogger())
+	b.forwarder = New(b.state, b.scriptedTransport, NewPicker(time.Now), log.NewNopLogger())
 	return b
 }
 
-func (b *loadBench) list(engines ...string) {
+func (b *dispatchHarness) list(engines ...string) {
 	var listed []*fleet.Engine
 	for _, id := range engines {
 		listed = append(listed, &fleet.Engine{ID: id, Service: "s", Slots: 4, Ready: true})
@@ -40,33 +40,33 @@
 	b.state.SetEngineList(listed)
 }
 
-func (b *loadBench) setDoes(id string, do action) {
+func (b *dispatchHarness) setAction(id string, do action) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.does[id] = do
+	b.actions[id] = do
 }
 
-func (b *loadBench) sent() int {
+func (b *dispatchHarness) sent() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.sends)
 }
 
-func (b *loadBench) do(ctx context.Context, request Request, deadline time.Duration) Result {
+func (b *dispatchHarness) do(ctx context.Context, request Request, deadline time.Duration) Result {
 	request.Method, request.Host, request.Target = http.MethodPost, "h", "/1"
 	return b.forwarder.Do(ctx, b.state.View().Routes.Match("h", "/1"), &request, boottime.Now().Add(deadline))
 }
 
-func TestTurnsOfAWellService(t *testing.T) {
-	for name, does := range map[string]map[string]action{
-		"all answer": {}, "one refuses": {"a": refused}, "one fails": {"a": failed}, "one loses": {"a": lost}, "one cannot be reached": {"a": notSent},
+func TestNormalServiceIsSentRequestsWithoutWait(t *testing.T) {
+	for name, actions := range map[string]map[string]action{
+		"all respond": {}, "one refuses": {"a": refused}, "one fails": {"a": failed}, "one loses responses": {"a": lost}, "one is unreachable": {"a": notSent},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			b := newLoadBench(does, "a", "b", "c")
+			b := newDispatchHarness(actions, "a", "b", "c")
 			started := time.Now()
 			for range 100 {
 				if result := b.do(t.Context(), Request{ID: "r"}, time.Second); result.Status != http.StatusOK || !result.Sent {
-					t.Fatalf("%s: ended %+v", name, result)
+					t.Fatalf("%s: result %+v", name, result)
 				}
 			}
 			if took := time.Since(started); took != 0 {
@@ -79,18 +79,18 @@
 	}
 }
 
-// A full service is sent few probes, and refusals are given within a quarter of the objective.
-func TestTurnsOfAFullService(t *testing.T) {
+// TestFullServiceIsSentFewProbes guards against sends that keep a full service overloaded, and against late refusals.
+func TestFullServiceIsSentFewProbes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newLoadBench(map[string]action{"a": refused, "b": refused}, "a", "b")
+		b := newDispatchHarness(map[string]action{"a": refused, "b": refused}, "a", "b")
 		for range 100 {
 			started := time.Now()
 			result := b.do(t.Context(), Request{ID: "r"}, time.Second)
 			if took := time.Since(started); result.Outcome != NotRun || took > 50*time.Millisecond {
-				t.Fatalf("ended %+v after %v, more than a quarter of the objective", result, took)
+				t.Fatalf("result %+v after %v, more than a quarter of the latency objective", result, took)
 			}
 			if result.RetryAfter < busyRetryAfter {
-				t.Fatalf("may come again after %v", result.RetryAfter)
+				t.Fatalf("retry delay %v is less than busyRetryAfter", result.RetryAfter)
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
@@ -100,28 +100,28 @@
 	})
 }
 
-func TestCallersAreSpread(t *testing.T) {
+func TestRetryAfterIsSpread(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newLoadBench(map[string]action{"a": refused}, "a")
-		told := make(map[time.Duration]bool)
+		b := newDispatchHarness(map[string]action{"a": refused}, "a")
+		delays := make(map[time.Duration]bool)
 		for range 20 {
-			told[b.do(t.Context(), Request{ID: "r"}, time.Second).RetryAfter] = true
+			delays[b.do(t.Context(), Request{ID: "r"}, time.Second).RetryAfter] = true
 		}
-		if len(told) < 10 {
-			t.Errorf("20 callers were told %d times to come again at", len(told))
+		if len(delays) < 10 {
+			t.Errorf("20 callers got only %d different retry delays", len(delays))
 		}
 	})
 }
 
-func TestPatientRequestWaitsForRoom(t *testing.T) {
+func TestQueuedRequestWaitsForCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newLoadBench(map[string]action{"a": refused}, "a")
+		b := newDispatchHarness(map[string]action{"a": refused}, "a")
 		b.do(t.Context(), Request{ID: "lookup"}, time.Second)
-		time.AfterFunc(1500*time.Millisecond, func() { b.setDoes("a", nil) })
+		time.AfterFunc(1500*time.Millisecond, func() { b.setAction("a", nil) })
 		before := b.sent()
 		result := b.do(t.Context(), Request{ID: "reward", Patience: 10 * time.Second}, 12*time.Second)
 		if result.Status != http.StatusOK {
-			t.Errorf("ended %+v", result)
+			t.Errorf("result %+v", result)
 		}
 		if sends := b.sent() - before; sends > 1+retryReserve {
 			t.Errorf("%d sends", sends)
@@ -129,9 +129,9 @@
 	})
 }
 
-func TestWaitingRequestIsNotSentOnceItsCallerHasLeft(t *testing.T) {
+func TestQueuedRequestOfCanceledCallerIsNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newLoadBench(map[string]action{"a": refused}, "a")
+		b := newDispatchHarness(map[string]action{"a": refused}, "a")
 		b.do(t.Context(), Request{ID: "lookup"}, time.Second)
 		ctx, cancel := context.WithCancel(t.Context())
 		var result Result
@@ -141,21 +141,21 @@
 		before := b.sent()
 		cancel()
 		waiting.Wait()
-		b.setDoes("a", nil)
+		b.setAction("a", nil)
 		time.Sleep(10 * time.Second)
 		if result.Outcome != NotRun || result.Sent || b.sent() != before {
-			t.Errorf("ended %+v, sent %d times", result, b.sent()-before)
+			t.Errorf("result %+v, sent %d times", result, b.sent()-before)
 		}
 		if statuses := b.forwarder.Services(); statuses[0].Waiting != 0 || statuses[0].InFlight != 0 {
-			t.Errorf("left behind: %+v", statuses)
+			t.Errorf("requests left in the queue or in flight: %+v", statuses)
 		}
 	})
 }
 
-// A timer that was armed before a sleep fires late: the request whose time is over then must not be sent.
-func TestWaitingRequestIsNotSentOnceItsTimeIsOver(t *testing.T) {
+// TestQueuedRequestPastDeadlineIsNotSent guards against a send past the deadline when a timer fires late after a suspension.
+func TestQueuedRequestPastDeadlineIsNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newLoadBench(map[string]action{"a": refused}, "a")
+		b := newDispatchHarness(map[string]action{"a": refused}, "a")
 		b.do(t.Context(), Request{ID: "lookup"}, time.Second)
 		var result Result
 		var waiting sync.WaitGroup
@@ -165,31 +165,31 @@
 		synctest.Wait()
 		before := b.sent()
 		boottime.SimulateSuspension(5 * time.Second)
-		b.setDoes("a", nil)
+		b.setAction("a", nil)
 		waiting.Wait()
 		if result.Outcome != NotRun || !result.TimedOut || b.sent() != before {
-			t.Errorf("ended %+v, sent %d times", result, b.sent()-before)
+			t.Errorf("result %+v, sent %d times", result, b.sent()-before)
 		}
 	})
 }
 
-// A request that the queue releases goes to an engine that is permitted at that moment.
-func TestWaitingRequestGoesToNoEngineThatIsLeaving(t *testing.T) {
+// TestQueuedRequestAvoidsRemovedEngine checks that a released request goes to an engine that is permitted at that time.
+func TestQueuedRequestAvoidsRemovedEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newLoadBench(map[string]action{"a": refused}, "a")
+		b := newDispatchHarness(map[string]action{"a": refused}, "a")
 		b.do(t.Context(), Request{ID: "lookup"}, time.Second)
-		time.AfterFunc(time.Millisecond, func() { b.list("b"); b.setDoes("a", nil) })
+		time.AfterFunc(time.Millisecond, func() { b.list("b"); b.setAction("a", nil) })
 		result := b.do(t.Context(), Request{ID: "reward", Patience: 2 * time.Second}, 3*time.Second)
 		if string(result.Body) != "from b" {
-			t.Errorf("ended %+v", result)
+			t.Errorf("result %+v", result)
 		}
 	})
 }
 
-func TestRetriesKeepToTheBudget(t *testing.T) {
-	for name, do := range map[string]action{"fail": failed, "lose answers": lost, "refuse": refused} {
+func TestRetriesStayWithinBudget(t *testing.T) {
+	for name, do := range map[string]action{"fail": failed, "lose responses": lost, "refuse": refused} {
 		synctest.Test(t, func(t *testing.T) {
-			b := newLoadBench(map[string]action{"a": do, "b": do, "c": do, "d": do}, "a", "b", "c", "d")
+			b := newDispatchHarness(map[string]action{"a": do, "b": do, "c": do, "d": do}, "a", "b", "c", "d")
 			for range 200 {
 				b.do(t.Context(), Request{ID: "r"}, time.Second)
 				time.Sleep(20 * time.Millisecond)
@@ -201,9 +201,9 @@
 	}
 }
 
-func TestRepeatedRoundsAreRetries(t *testing.T) {
+func TestRepeatedRequestsCountAsRetries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newLoadBench(map[string]action{}, "a")
+		b := newDispatchHarness(map[string]action{}, "a")
 		answered := 0
 		for range 20 {
 			if b.do(t.Context(), Request{ID: "r", Repeated: true}, time.Second).Outcome == Completed {
@@ -211,52 +211,52 @@
 			}
 		}
 		if answered != retryReserve {
-			t.Errorf("%d rounds beyond the first were sent, without a first", answered)
+			t.Errorf("%d repeated requests were sent without a first one, want retryReserve", answered)
 		}
 	})
 }
 
-// someQuota is a Quota with fixed cold engines and a number of grants.
-type someQuota struct {
+// countedQuota is a Quota with fixed cold engines and a counted number of grants.
+type countedQuota struct {
 	cold   map[string]bool
 	grants atomic.Int64
 }
 
 // Cold implements Quota.
-func (q *someQuota) Cold(engine *fleet.Engine) bool { return q.cold[engine.ID] }
+func (q *countedQuota) Cold(engine *fleet.Engine) bool { return q.cold[engine.ID] }
 
 // Acquire implements Quota.
-func (q *someQuota) Acquire(ctx context.Context, engines []*fleet.Engine, _ routing.Rank, until time.Time) *fleet.Engine {
+func (q *countedQuota) Acquire(ctx context.Context, engines []*fleet.Engine, _ routing.Rank, until time.Time) *fleet.Engine {
 	if q.grants.Add(-1) >= 0 {
 		return engines[0]
 	}
 	return nil
 }
 
-func TestTurnsAtColdEngines(t *testing.T) {
+func TestColdEngineDispatch(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		does   map[string]action
-		cold   map[string]bool
-		grants int64
-		body   string
-		left   int64
+		name    string
+		actions map[string]action
+		cold    map[string]bool
+		grants  int64
+		body    string
+		left    int64
 	}{
-		{"a warm engine goes first", map[string]action{}, map[string]bool{"a": true}, 1, "from b", 1},
+		{"warm engines are preferred", map[string]action{}, map[string]bool{"a": true}, 1, "from b", 1},
 		{"a full warm engine, and a grant", map[string]action{"b": refused}, map[string]bool{"a": true}, 1, "from a", 0},
 		{"a full warm engine, and no grant", map[string]action{"b": refused}, map[string]bool{"a": true}, 0, "", -1},
 		{"only cold engines, and a grant", map[string]action{}, map[string]bool{"a": true, "b": true}, 1, "from a", 0},
 		{"only cold engines, and no grant", map[string]action{}, map[string]bool{"a": true, "b": true}, 0, "", -1},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			b := newLoadBench(c.does, "a", "b")
-			quota := &someQuota{cold: c.cold}
+			b := newDispatchHarness(c.actions, "a", "b")
+			quota := &countedQuota{cold: c.cold}
 			quota.grants.Store(c.grants)
 			b.forwarder.Quota = quota
 			started := time.Now()
 			result := b.do(t.Context(), Request{ID: "r"}, time.Second)
 			if string(result.Body) != c.body || (c.body == "") != (result.Outcome == NotRun) {
-				t.Errorf("%s: ended %+v", c.name, result)
+				t.Errorf("%s: result %+v", c.name, result)
 			}
 			if took := time.Since(started); took > 50*time.Millisecond {
 				t.Errorf("%s: took %v", c.name, took)
--- a/internal/forward/forwarder.go
+++ b/internal/forward/forwarder.go
@@ -23,18 +23,18 @@
 
 // The outcomes.
 const (
-	// Completed means that an engine answered; the answer may be a failure of its own.
+	// Completed means that an engine responded, possibly with an error status.
 	Completed Outcome = iota
 	// NotRun means that no engine has executed the request or ever will.
 	NotRun
-	// Unknown means that an engine may have executed it.
+	// Unknown means that an engine may have executed the request.
 	Unknown
 )
 
-// String returns the outcome's name in logs and metrics.
+// String returns the name of the outcome as used in logs and metrics.
 func (o Outcome) String() string { return [...]string{"completed", "not_run", "unknown"}[o] }
 
-// Reason is what kept a request from being completed, as logs tell it.
+// Reason is why a request was not completed, as logged.
 type Reason string
 
 // The reasons.
@@ -45,82 +45,81 @@
 	ReasonAttemptsUsed Reason = "attempts used"
 	ReasonEnginesFull  Reason = "engines full"
 	ReasonAnswerLost   Reason = "answer lost"
-	// ReasonUnreachable is given where no engine could be sent the request, rather than refused it.
+	// ReasonUnreachable means that engines could not be reached, as opposed to refusing the request.
 	ReasonUnreachable Reason = "engines unreachable"
-	// ReasonEnginesCold is given where only cold engines may run the request, and none was granted in time.
+	// ReasonEnginesCold means that only cold engines are permitted and no grant arrived in time.
 	ReasonEnginesCold Reason = "engines cold"
-	// ReasonHeld is given for requests under which too many engines have ended.
+	// ReasonHeld means that the request is quarantined because too many engines ended while running it.
 	ReasonHeld Reason = "held"
-	// ReasonRetryBudget is given where the retry budget did not grant a send to another engine.
+	// ReasonRetryBudget means that the retry budget denied a retry on another engine.
 	ReasonRetryBudget Reason = "retry budget used"
 )
 
-// Result is the end of a request.
+// Result is the result of a forwarded request.
 type Result struct {
 	Outcome Outcome
-	// Status, Header and Body are the engine's, if Completed. Exactly one of Body and Stream is set.
+	// Status, Header and Body are the engine's, set if Outcome is Completed. Exactly one of Body and Stream is set.
 	Status    int
 	Header    http.Header
 	Signature string
 	Body      []byte
-	// Stream is an answer that is passed on as it arrives. It must be closed.
+	// Stream is a response body that is passed on as it arrives. The caller must close it.
 	Stream io.ReadCloser
-	// RetryAfter is when a request that was not run may come again.
+	// RetryAfter is how long the caller of a request that was not run should wait before a retry.
 	RetryAfter time.Duration
-	// Reason is what kept the request from being completed; empty if nothing did.
+	// Reason is why the request was not completed; empty if it was.
 	Reason Reason
-	// TimedOut is true if the time that the request had is over.
+	// TimedOut is true if the request's deadline has passed.
 	TimedOut bool
-	// FailedAttempts counts the answers of 500 that engines gave.
+	// FailedAttempts counts the responses with status 500.
 	FailedAttempts int
-	// Sent is true if a byte of the request left for an engine, whatever the outcome.
+	// Sent is true if any byte of the request was sent to an engine, whatever the outcome.
 	Sent bool
 }
 
 const (
-	// maxAnswer bounds an answer that is held in memory.
-	maxAnswer = 64 << 20
-	// minAttemptTime is the least time for an attempt to be worth making.
+	// maxAnswerBytes bounds a response body that is buffered in memory.
+	maxAnswerBytes = 64 << 20
+	// minAttemptTime is the least remaining time at which another attempt is made.
 	minAttemptTime = 5 * time.Millisecond
-	// minPatience is the least time that an attempt gets before another engine is asked.
-	minPatience = 150 * time.Millisecond
-	// patienceObjectives is the patience in latency objectives.
-	patienceObjectives = 1.5
-	// waitShare is the share of the latency objective that a request may wait for a full service.
-	waitShare = 0.22
-	// defaultWait is the wait on routes without an objective.
-	defaultWait = 50 * time.Millisecond
-	// busyRetryAfter and emptyRetryAfter are what refused callers are told.
+	// minAttemptTimeout is the shortest time given to an attempt before failover to another engine.
+	minAttemptTimeout = 150 * time.Millisecond
+	// attemptTimeoutFactor is the attempt timeout as a multiple of the latency objective.
+	attemptTimeoutFactor = 1.5
+	// queueTimeoutShare is the share of the latency objective for which a request may queue.
+	queueTimeoutShare = 0.22
+	// defaultQueueTimeout applies to routes without a latency objective.
+	defaultQueueTimeout = 50 * time.Millisecond
+	// busyRetryAfter and emptyRetryAfter are the retry delays returned for a busy service and for one without engines.
 	busyRetryAfter  = 100 * time.Millisecond
 	emptyRetryAfter = 300 * time.Millisecond
-	// closedRetryAfter is what callers are told where only an operator, or engines that have yet to start, can change the answer, and the longest
-	// time told to callers of a full service, before the spread.
+	// closedRetryAfter is the retry delay if only an operator or a new engine can change the result, and the longest one for a busy service,
+	// before retryAfterSpread is added.
 	closedRetryAfter = time.Second
-	// retryAfterSpread is the greatest random share added to what callers of a full service are told, so that they do not return together.
+	// retryAfterSpread is the largest random share added to the retry delay of a busy service, so that callers do not return together.
 	retryAfterSpread = 0.5
-	// retryShare is the most retries for each first send, so that retries raise the load of an outage to at most 1.2 times. It holds over
-	// retryWindow: longer than it takes to notice that an engine has ended, and short enough that a calm hour does not pay for many retries at once.
+	// retryShare is the maximum number of retries per first send within retryWindow. The window must exceed the time that it takes to detect an
+	// ended engine, and be short enough that first sends of a calm period do not pay for a burst of retries.
 	retryShare  = 0.2
 	retryWindow = 10 * time.Second
-	// retryReserve is how many retries a process that rarely uses a service may make beyond the share; one more is granted each retryRefill. That
-	// is longer than the 3 s that a reward call may take, and short beside an engine's start.
+	// retryReserve is the number of retries granted beyond retryShare, for rarely used services; one is refilled each retryRefill.
 	retryReserve = 3
 	retryRefill  = 5 * time.Second
 )
 
-// Observer is told of every request's end, for metrics.
+// Observer receives the end of every request, for metrics.
 type Observer interface {
 	RequestEnded(kind routing.Kind, outcome Outcome, engines int, took time.Duration)
 }
 
-// LoadObserver is told of retries and waits, for metrics.
+// LoadObserver receives retries and waits, for metrics.
 type LoadObserver interface {
-	// Retried counts a send beyond the first of a request, and RetryDenied a retry that the budget did not grant.
+	// Retried counts a send after the first of a request, and RetryDenied a retry that the budget denied.
 	Retried(service string)
 	RetryDenied(service string)
-	// Waited tells how long a request waited for capacity.
+	// Waited records how long a request was queued.
 	Waited(service string, took time.Duration)
-	// RefusedAtOnce counts a request that was refused without a wait, because its turn would have come too late.
+	// RefusedAtOnce counts a request refused without queueing because its expected wait was too long.
 	RefusedAtOnce(service string)
 }
 
@@ -130,10 +129,10 @@
 	Observer Observer
 	// LoadObserver may be nil. It must be set before the first request.
 	LoadObserver LoadObserver
-	// Began is told of each request that an engine began to run, or may have begun, once, with the moment of boottime; nil for nobody. Of a stream that is
-	// the moment of its first byte. It must be set before the first request.
+	// Began, if not nil, is called once for each tenant's request that an engine ran or may have run, with the boottime of the send; for a
+	// stream, that of its first byte. It must be set before the first request.
 	Began func(tenant string, at time.Time)
-	// Guard refuses requests that end the engines that run them; nil admits all. It must be set before the first request.
+	// Guard refuses requests that crash engines; nil admits all. It must be set before the first request.
 	Guard *quarantine.Guard
 	// Quota grants sends to cold engines; nil if no engine is ever cold. It must be set before the first request.
 	Quota     Quota
@@ -151,43 +150,43 @@
 	return &Forwarder{state: state, transport: transport, picker: picker, budget: budget, waiting: newWaitQueues(budget, logger), logger: logger}
 }
 
-// Services returns what this process knows of the load of each service that it sent requests to.
+// Services returns this process's view of the load of each service that it has handled requests for.
 func (f *Forwarder) Services() []ServiceStatus { return f.waiting.statuses() }
 
-// job is one request on its way.
+// job is the state of one request in Do.
 type job struct {
 	*Forwarder
 	route   *routing.Route
 	request *Request
 	service string
-	// version is that of the routes that the request came by, and rank the request's.
+	// version is the version of the route table, and rank the request's rank.
 	version int64
 	rank    routing.Rank
-	// residency is where the request's data may be.
+	// residency restricts the regions in which the request's data may be processed.
 	residency placement.Residency
 	started   time.Time
 	deadline  time.Time
-	// waitUntil is the moment of boottime until which the request may wait for a full service.
-	waitUntil time.Time
-	// sends counts the attempts of which a byte left; several at one engine count each.
+	// queueDeadline is the boottime until which the request may queue for a full service.
+	queueDeadline time.Time
+	// sends counts the attempts of which at least one byte was sent, repeated ones at one engine included.
 	sends int
-	// tried are the engines that the request was sent to; several attempts at one engine count once.
+	// tried holds the IDs of the engines that the request was sent to.
 	tried map[string]struct{}
-	// mayHaveRun is true once an attempt was lost.
-	mayHaveRun bool
-	// unreachable is true if the last engine that did not take the request could not be sent it.
+	// attemptLost is true once the response of an attempt was lost.
+	attemptLost bool
+	// unreachable is true if the last engine that did not accept the request could not be reached.
 	unreachable bool
-	// beganAt is when the first attempt was sent that ran or may have run; zero if there was none.
-	beganAt time.Time
-	failed  int
-	last    *Result
-	// once is true if the request goes to no further engine once one may have run it.
-	once bool
-	// identity is the request's fingerprint; nil until it is needed.
-	identity *quarantine.Fingerprint
+	// executedAt is when the first attempt that ran or may have run was sent; zero if there was none.
+	executedAt     time.Time
+	failedAttempts int
+	lastFailure    *Result
+	// noFailover is true if the request must not go to another engine after one that may have run it.
+	noFailover bool
+	// cachedFingerprint is computed on first use.
+	cachedFingerprint *quarantine.Fingerprint
 }
 
-// Do forwards the request by the route until the deadline, a moment of boottime. The end of ctx means that the caller has left.
+// Do forwards the request by the route until the deadline, in boottime. The end of ctx means that the caller has left.
 func (f *Forwarder) Do(ctx context.Context, route *routing.Route, request *Request, deadline time.Time) Result {
 	j := &job{
 		Forwarder: f,
@@ -205,31 +204,31 @@
 	if route.Timeout > 0 && j.started.Add(route.Timeout).Before(deadline) {
 		j.deadline = j.started.Add(route.Timeout)
 	}
-	j.waitUntil = j.started.Add(j.maxWait())
-	result := j.admitted(ctx)
-	result.FailedAttempts = j.failed
+	j.queueDeadline = j.started.Add(j.queueTimeout())
+	result := j.admitAndRun(ctx)
+	result.FailedAttempts = j.failedAttempts
 	result.Sent = j.sends > 0
-	j.tellBegan(&result)
+	j.reportExecution(&result)
 	j.report(result)
 	return result
 }
 
-// admitted runs the request unless it is held.
-func (j *job) admitted(ctx context.Context) Result {
+// admitAndRun runs the request unless the guard refuses it.
+func (j *job) admitAndRun(ctx context.Context) Result {
 	admission := j.Guard.Admit(ctx, j.request.ID, j.fingerprint)
 	if admission.Refused {
 		return Result{Outcome: NotRun, Reason: ReasonHeld, RetryAfter: admission.RetryAfter}
 	}
-	j.once = admission.Isolated
+	j.noFailover = admission.Isolated
 	return j.run(ctx)
 }
 
 func (j *job) fingerprint() quarantine.Fingerprint {
-	if j.identity == nil {
+	if j.cachedFingerprint == nil {
 		identity := j.request.Fingerprint()
-		j.identity = &identity
+		j.cachedFingerprint = &identity
 	}
-	return *j.identity
+	return *j.cachedFingerprint
 }
 
 func (j *job) run(ctx context.Context) Result {
@@ -241,40 +240,40 @@
 			return j.giveUp(ReasonCallerLeft, true)
 		}
 		permitted := j.permitted()
-		turn := j.firstTry(permitted)
-		if turn.engine == nil {
+		next := j.trySampled(permitted)
+		if next.engine == nil {
 			candidates := j.candidates(permitted)
 			if len(candidates) == 0 {
-				return j.giveUp(j.reasonNoEngine(), false)
+				return j.giveUp(j.noEngineReason(), false)
 			}
-			turn = j.nextTurn(ctx, candidates)
+			next = j.nextDecision(ctx, candidates)
 		}
-		if turn.refusal != "" {
-			return j.giveUp(turn.refusal, false)
+		if next.refusal != "" {
+			return j.giveUp(next.refusal, false)
 		}
-		if turn.engine == nil {
+		if next.engine == nil {
 			continue
 		}
-		result, again := j.attempt(ctx, turn, len(permitted))
+		result, again := j.attempt(ctx, next, len(permitted))
 		if !again {
 			return result
 		}
-		if j.begun() && (j.once || len(j.tried) >= j.route.MaxAttempts) {
+		if j.mayHaveExecuted() && (j.noFailover || len(j.tried) >= j.route.MaxAttempts) {
 			return j.giveUp(ReasonAttemptsUsed, false)
 		}
 	}
 }
 
-// begun reports whether an engine may have executed the request.
-func (j *job) begun() bool { return j.mayHaveRun || j.last != nil }
+// mayHaveExecuted reports whether an engine may have executed the request.
+func (j *job) mayHaveExecuted() bool { return j.attemptLost || j.lastFailure != nil }
 
 // permitted returns the engines that may run the request now.
 func (j *job) permitted() []*fleet.Engine {
 	return placement.NewFilter(j.state.View(), j.residency).Engines(j.service)
 }
 
-// reasonNoEngine returns why no engine may run the request.
-func (j *job) reasonNoEngine() Reason {
+// noEngineReason returns why no engine may run the request.
+func (j *job) noEngineReason() Reason {
 	reason := placement.NewFilter(j.state.View(), j.residency).Explain(j.service)
 	if reason == placement.Permitted {
 		return ReasonNoEngine
@@ -282,39 +281,39 @@
 	return Reason(reason)
 }
 
-// reasonNotTaken returns why no engine has taken the request.
-func (j *job) reasonNotTaken() Reason {
+// notAcceptedReason returns why no engine has accepted the request.
+func (j *job) notAcceptedReason() Reason {
 	if j.unreachable {
 		return ReasonUnreachable
 	}
 	return ReasonEnginesFull
 }
 
-// maxWait is how long the request may wait while its service is full.
-func (j *job) maxWait() time.Duration {
+// queueTimeout returns how long the request may queue while its service is full.
+func (j *job) queueTimeout() time.Duration {
 	if j.request.Patience > 0 {
 		return j.request.Patience
 	}
 	if j.route.LatencyObjective == 0 {
-		return defaultWait
+		return defaultQueueTimeout
 	}
-	return time.Duration(waitShare * float64(j.route.LatencyObjective))
+	return time.Duration(queueTimeoutShare * float64(j.route.LatencyObjective))
 }
 
 // giveUp returns the result of a request that no engine completed.
 func (j *job) giveUp(reason Reason, timedOut bool) Result {
-	if j.last != nil {
-		return *j.last
+	if j.lastFailure != nil {
+		return *j.lastFailure
 	}
 	result := Result{Outcome: NotRun, Reason: reason, TimedOut: timedOut, RetryAfter: j.retryAfter(reason)}
-	if j.mayHaveRun {
+	if j.attemptLost {
 		result.Outcome = Unknown
 		result.RetryAfter = 0
 	}
 	return result
 }
 
-// retryAfter returns how long the caller of a refused request is told to wait.
+// retryAfter returns the retry delay for the caller of a refused request.
 func (j *job) retryAfter(reason Reason) time.Duration {
 	switch reason {
 	case ReasonNoEngine, Reason(placement.EvacuationsUnknown):
@@ -322,17 +321,17 @@
 	case Reason(placement.EngineLeaving), Reason(placement.ZoneEvacuated), Reason(placement.RegionNotAllowed), Reason(placement.NoRegionAllowed):
 		return closedRetryAfter
 	}
-	turn := min(max(j.waiting.turnAfter(j.service, j.rank), busyRetryAfter), closedRetryAfter)
-	return time.Duration(float64(turn) * (1 + retryAfterSpread*rand.Float64()))
+	delay := min(max(j.waiting.expectedWait(j.service, j.rank), busyRetryAfter), closedRetryAfter)
+	return time.Duration(float64(delay) * (1 + retryAfterSpread*rand.Float64()))
 }
 
-// report logs the decision. Requests that were completed as they should are told at the debug level.
+// report logs the result: at debug level if the first engine completed the request, else at info level.
 func (j *job) report(result Result) {
 	if j.Observer != nil {
 		j.Observer.RequestEnded(j.route.Kind, result.Outcome, len(j.tried), boottime.Since(j.started))
 	}
 	fields := []any{"msg", "request ended", "request", j.request.ID, "route", j.route.Name, "service", j.service, "outcome", result.Outcome,
-		"status", result.Status, "reason", result.Reason, "engines", len(j.tried), "sends", j.sends, "failed", j.failed,
+		"status", result.Status, "reason", result.Reason, "engines", len(j.tried), "sends", j.sends, "failed", j.failedAttempts,
 		"took", boottime.Since(j.started).Round(time.Millisecond), "config", j.version}
 	if result.Outcome == Completed && result.Status < http.StatusInternalServerError && len(j.tried) == 1 {
 		_ = level.Debug(j.logger).Log(fields...)
--- a/internal/forward/forwarder_test.go
+++ b/internal/forward/forwarder_test.go
@@ -19,29 +19,29 @@
 	"github.com/covelink/covelink/internal/routing"
 )
 
-// sent is one attempt that reached an engine.
-type sent struct {
+// sentAttempt is an attempt that reached the transport.
+type sentAttempt struct {
 	engine   string
 	timeLeft time.Duration
 	leaveBy  time.Time
 	once     bool
 }
 
-// script says what each engine does; engines that it does not name answer 200.
-type script struct {
-	mu    sync.Mutex
-	does  map[string]func(ctx context.Context) (*Answer, error)
-	sends []sent
+// scriptedTransport runs a scripted action for each engine; engines without one respond with 200.
+type scriptedTransport struct {
+	mu      sync.Mutex
+	actions map[string]func(ctx context.Context) (*Answer, error)
+	sends   []sentAttempt
 }
 
 func answer(status int, body string) *Answer {
 	return &Answer{Status: status, Valid: true, Signature: "signed", Header: http.Header{}, Body: io.NopCloser(strings.NewReader(body))}
 }
 
-func (s *script) Send(ctx context.Context, engine *fleet.Engine, _ *Request, options SendOptions) (*Answer, error) {
+func (s *scriptedTransport) Send(ctx context.Context, engine *fleet.Engine, _ *Request, options SendOptions) (*Answer, error) {
 	s.mu.Lock()
-	s.sends = append(s.sends, sent{engine: engine.ID, timeLeft: options.TimeLeft, leaveBy: options.LeaveBy, once: options.Once})
-	do := s.does[engine.ID]
+	s.sends = append(s.sends, sentAttempt{engine: engine.ID, timeLeft: options.TimeLeft, leaveBy: options.LeaveBy, once: options.Once})
+	do := s.actions[engine.ID]
 	s.mu.Unlock()
 	if do == nil {
 		return answer(http.StatusOK, "from "+engine.ID), nil
@@ -68,7 +68,7 @@
 	return nil, ErrLost
 }
 
-// brokenBody breaks off after a part.
+// brokenBody fails after a part of the body.
 type brokenBody struct{ io.Reader }
 
 func (brokenBody) Close() error { return nil }
@@ -84,18 +84,18 @@
 func (errReader) Read([]byte) (int, error) { return 0, io.ErrUnexpectedEOF }
 
 func unsigned(context.Context) (*Answer, error) {
-	a := answer(http.StatusOK, "who knows")
+	a := answer(http.StatusOK, "unsigned body")
 	a.Valid = false
 	return a, nil
 }
 
 type action = func(context.Context) (*Answer, error)
 
-// play forwards one request with a deadline of 1 s to engines a and b.
-func play(t *testing.T, name string, kind routing.Kind, does map[string]action, check func(result Result, s *script, took time.Duration)) {
+// forwardOnce forwards one request with a deadline of 1 s to engines a and b.
+func forwardOnce(t *testing.T, name string, kind routing.Kind, actions map[string]action, check func(result Result, s *scriptedTransport, took time.Duration)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		s := &script{does: does}
+		s := &scriptedTransport{actions: actions}
 		state := fleet.NewState()
 		route := routing.Route{Host: "h", Prefix: "/", Kind: kind, Targets: []routing.Target{{Service: "s", Weight: 1}}, MaxAttempts: 2, LatencyObjective: 200 * time.Millisecond}
 		state.SetRoutes(routing.NewTable(1, []routing.Route{route}, nil, routing.Limits{}))
@@ -116,62 +116,62 @@
 func TestOutcomes(t *testing.T) {
 	both := func(do action) map[string]action { return map[string]action{"a": do, "b": do} }
 	for _, kind := range []routing.Kind{routing.KindIdempotent, routing.KindAtMostOnce} {
-		play(t, "An answer is passed on as it is ("+kind.String()+")", kind, nil, func(result Result, s *script, _ time.Duration) {
+		forwardOnce(t, "A response is passed on unchanged ("+kind.String()+")", kind, nil, func(result Result, s *scriptedTransport, _ time.Duration) {
 			So(result.Outcome, ShouldEqual, Completed)
 			So(string(result.Body), ShouldStartWith, "from ")
 			So(len(s.sends), ShouldEqual, 1)
 			So(s.sends[0].timeLeft, ShouldBeLessThanOrEqualTo, time.Second)
 			So(s.sends[0].once, ShouldEqual, kind == routing.KindAtMostOnce)
 		})
-		play(t, "A request that all engines refuse was not run, and is given back within a quarter of its objective ("+kind.String()+")", kind, both(refused),
-			func(result Result, _ *script, took time.Duration) {
+		forwardOnce(t, "A request that all engines refuse is NotRun, within a quarter of its latency objective ("+kind.String()+")", kind, both(refused),
+			func(result Result, _ *scriptedTransport, took time.Duration) {
 				So(result.Outcome, ShouldEqual, NotRun)
 				So(result.RetryAfter, ShouldBeGreaterThan, 0)
 				So(took, ShouldBeLessThanOrEqualTo, 75*time.Millisecond)
 			})
-		play(t, "A request that never left was not run ("+kind.String()+")", kind, both(notSent), func(result Result, _ *script, _ time.Duration) {
+		forwardOnce(t, "A request that could not be sent is NotRun ("+kind.String()+")", kind, both(notSent), func(result Result, _ *scriptedTransport, _ time.Duration) {
 			So(result.Outcome, ShouldEqual, NotRun)
 		})
 	}
 	for name, do := range map[string]action{"lost": lost, "cut off": cutOff, "unsigned": unsigned, "silent": silent} {
-		play(t, "A request that may run once is sent once if its answer is "+name, routing.KindAtMostOnce, both(do), func(result Result, s *script, _ time.Duration) {
+		forwardOnce(t, "An at-most-once request is sent once if its response is "+name, routing.KindAtMostOnce, both(do), func(result Result, s *scriptedTransport, _ time.Duration) {
 			So(result.Outcome, ShouldEqual, Unknown)
 			So(len(s.sends), ShouldEqual, 1)
 		})
-		play(t, "A repeatable request goes to another engine if its answer is "+name+", and to no third", routing.KindIdempotent, both(do), func(result Result, s *script, _ time.Duration) {
+		forwardOnce(t, "A repeatable request goes to another engine if its response is "+name+", and to no third one", routing.KindIdempotent, both(do), func(result Result, s *scriptedTransport, _ time.Duration) {
 			So(result.Outcome, ShouldEqual, Unknown)
 			So(len(s.sends), ShouldEqual, 2)
 			So(s.sends[0].engine, ShouldNotEqual, s.sends[1].engine)
 			So(s.sends[1].timeLeft, ShouldBeLessThanOrEqualTo, s.sends[0].timeLeft)
 		})
 	}
-	play(t, "A repeatable request that fails at one engine is served by the other", routing.KindIdempotent, map[string]action{"a": failed}, func(result Result, s *script, _ time.Duration) {
+	forwardOnce(t, "A repeatable request that fails at one engine is served by the other", routing.KindIdempotent, map[string]action{"a": failed}, func(result Result, s *scriptedTransport, _ time.Duration) {
 		So(result.Status, ShouldEqual, http.StatusOK)
 	})
-	play(t, "One that fails at both is answered with the failure", routing.KindIdempotent, both(failed), func(result Result, s *script, _ time.Duration) {
+	forwardOnce(t, "A repeatable request that fails at both engines returns the failure", routing.KindIdempotent, both(failed), func(result Result, s *scriptedTransport, _ time.Duration) {
 		So(result.Outcome, ShouldEqual, Completed)
 		So(result.Status, ShouldEqual, http.StatusInternalServerError)
 		So(result.FailedAttempts, ShouldEqual, 2)
 	})
-	play(t, "The failure of one that may run once is its answer", routing.KindAtMostOnce, both(failed), func(result Result, s *script, _ time.Duration) {
+	forwardOnce(t, "An at-most-once request that fails returns the failure", routing.KindAtMostOnce, both(failed), func(result Result, s *scriptedTransport, _ time.Duration) {
 		So(result.Status, ShouldEqual, http.StatusInternalServerError)
 		So(len(s.sends), ShouldEqual, 1)
 	})
-	play(t, "A silent engine costs a repeatable request 1.5 objectives, not its deadline", routing.KindIdempotent, map[string]action{"a": silent}, func(result Result, _ *script, took time.Duration) {
+	forwardOnce(t, "A repeatable request fails over from a silent engine after 1.5 latency objectives", routing.KindIdempotent, map[string]action{"a": silent}, func(result Result, _ *scriptedTransport, took time.Duration) {
 		So(result.Status, ShouldEqual, http.StatusOK)
 		So(took, ShouldBeLessThanOrEqualTo, 301*time.Millisecond)
 	})
 }
 
-func TestCallerLeaves(t *testing.T) {
+func TestCallerCancels(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &script{does: map[string]action{"a": silent}}
+		s := &scriptedTransport{actions: map[string]action{"a": silent}}
 		state := fleet.NewState()
 		route := routing.Route{Host: "h", Prefix: "/", Kind: routing.KindIdempotent, Targets: []routing.Target{{Service: "s", Weight: 1}}, MaxAttempts: 3}
 		state.SetRoutes(routing.NewTable(1, []routing.Route{route}, nil, routing.Limits{}))
 		state.SetEngineList([]*fleet.Engine{{ID: "a", Service: "s", Slots: 4, Ready: true}})
 		forwarder := New(state, s, NewPicker(time.Now), log.NewNopLogger())
-		Convey("Once the caller has left nothing more is sent", t, func() {
+		Convey("Nothing more is sent once the caller has left", t, func() {
 			ctx, cancel := context.WithTimeoutCause(t.Context(), 100*time.Millisecond, errors.New("left"))
 			defer cancel()
 			result := forwarder.Do(ctx, state.View().Routes.Match("h", "/1"), &Request{ID: "r"}, boottime.Now().Add(5*time.Second))
--- a/internal/forward/load.go
+++ b/internal/forward/load.go
@@ -8,135 +8,133 @@
 )
 
 const (
-	// recently is how long a refusal counts toward its service's load: older ones say nothing about the load of now.
-	recently = time.Second
-	// firstProbe and maxProbe bound the interval at which a full service is probed for capacity. The first is about the length of a lookup, so
-	// that a short burst costs its callers nothing. In the replay of a crash of all engines at 300 gateways a longest interval of 0.5 s kept the
-	// engines falling (20 falls in 25 s, 1.47 to 1.50 sends for each request), one of 2 s let them come back (4 falls, 1.01 to 1.04).
-	firstProbe = 25 * time.Millisecond
-	maxProbe   = 2 * time.Second
-	// maxKnownFull bounds how long first tries avoid an engine that refused. First tries are not retries, and serve as probes too: a longer
-	// bound would find new capacity later.
-	maxKnownFull = 500 * time.Millisecond
-	// silence is how long a service with requests in flight must not have answered before a retry may be spent on a probe, and how long a
-	// patient retry waits after a refusal before it may be one: the retry budget pays for few probes.
-	silence = 500 * time.Millisecond
-	// probeJitter is the share by which an interval is longer or shorter, so that processes do not probe together.
+	// refusalWindow is how long a refusal counts toward the load of its service.
+	refusalWindow = time.Second
+	// minProbeInterval and maxProbeInterval bound the interval between probes of a full service. Probes of many gateways at a shorter maximum can
+	// keep restarting engines overloaded.
+	minProbeInterval = 25 * time.Millisecond
+	maxProbeInterval = 2 * time.Second
+	// maxBusyBackoff bounds how long first sends avoid an engine that refused. They also serve as probes: a longer bound delays the detection of
+	// new capacity.
+	maxBusyBackoff = 500 * time.Millisecond
+	// retryProbeDelay is how long a service with requests in flight must not have responded before a retry may probe it, and how long after a
+	// refusal the retry of a request with its own queue timeout may: the retry budget allows few probes.
+	retryProbeDelay = 500 * time.Millisecond
+	// probeJitter is the relative jitter of probe intervals, so that processes do not probe in step.
 	probeJitter = 0.25
-	// firstUnreachable is how long an engine is not dialled again after the first failed connection; the time doubles with each further one. An
-	// engine that has ended does not come back: its next start has another ID.
-	firstUnreachable = 250 * time.Millisecond
-	// cutPause is the least time between two cuts of a limit: refusals that arrive together report the same overload, and cut it once.
-	cutPause = 100 * time.Millisecond
-	// wellAfter is how long a service must refuse nothing before it counts as well again: longer than most intervals between probes, so that its
-	// load does not flap.
-	wellAfter = time.Second
-	// rampStep, in requests, is what each round of answers (as many as the limit) adds to the limit within wellAfter of a refusal. One round in
-	// five or six then sends one request more, so that the refusals which that provokes stay within the retry budget.
-	rampStep = 0.18
-	// rateWindow is the window of a service's counts of answers and refusals: long enough to estimate a wait from, short enough to follow a burst.
+	// firstUnreachableBackoff is the backoff after the first failed connection; it doubles with each further one. An engine that ended does not
+	// return: a restarted one has another ID.
+	firstUnreachableBackoff = 250 * time.Millisecond
+	// limitCutInterval is the minimum time between two cuts of a limit: refusals that arrive together report the same overload.
+	limitCutInterval = 100 * time.Millisecond
+	// recoveryTime is how long a service must refuse nothing before its load becomes LoadNormal again. It exceeds most probe intervals, so that
+	// the load does not flap.
+	recoveryTime = time.Second
+	// limitRampStep, in requests, is the increase of the limit per round of responses (as many as the limit) within recoveryTime of a refusal. It
+	// is below 1 to keep the refusals it provokes within the retry budget.
+	limitRampStep = 0.18
+	// rateWindow is the window of a service's counts of responses and refusals.
 	rateWindow = 2 * time.Second
 )
 
 // Load is this process's estimate of a service's load.
 type Load int
 
-// The loads.
+// The values of Load.
 const (
-	// LoadWell: requests are sent at once.
-	LoadWell Load = iota
-	// LoadFull: the service refuses requests, and new ones wait.
+	// LoadNormal means that requests are sent without queueing.
+	LoadNormal Load = iota
+	// LoadFull means that the service refuses requests, and new ones are queued.
 	LoadFull
-	// LoadDown: most of the engines that took nothing could not be reached.
+	// LoadDown means that most of the engines that accepted nothing could not be reached.
 	LoadDown
 )
 
-// String returns the load's name in logs and metrics.
+// String returns the name of the load as used in logs and metrics.
 func (l Load) String() string { return [...]string{"well", "full", "down"}[l] }
 
-// refusal is the last time at which an engine did not take a request.
+// refusal records the last time that an engine did not accept a request.
 type refusal struct {
 	at time.Time
 	// until is when the engine may be tried again.
 	until       time.Time
 	unreachable bool
-	// failures counts the consecutive tries that could not reach the engine.
+	// failures counts the consecutive failed connections.
 	failures int
 }
 
-// serviceLoad estimates a service's load from this process's own attempts. Its methods take the time as an argument. It is not safe for
-// concurrent use.
+// serviceLoad estimates a service's load from this process's own attempts. Its methods take the current time. It is not safe for concurrent use.
 type serviceLoad struct {
 	load  Load
 	since time.Time
-	// inFlight counts this process's requests that an engine of the service works on, or that are about to be sent.
+	// inFlight counts this process's requests that an engine processes or that are about to be sent.
 	inFlight int
-	// limit bounds inFlight while the load is not LoadWell. It is a fraction because rampStep is.
+	// limit bounds inFlight while the load is not LoadNormal. It is fractional because limitRampStep is.
 	limit float64
-	// refusals maps the ID of each engine that has refused and not answered since to its last refusal.
+	// refusals maps the ID of each engine that has not responded since its last refusal to that refusal.
 	refusals            map[string]refusal
 	refusedAt, servedAt time.Time
-	cutAt               time.Time
-	// interval is the present pause between probes; the next may be made at probeAt.
+	limitCutAt          time.Time
+	// interval is the current pause between probes; the next one is due at probeAt.
 	interval time.Duration
 	probeAt  time.Time
-	// served and refused count the answers and refusals of the last rateWindow.
+	// served and refused count the responses and refusals within rateWindow.
 	served, refused slidingcount.Counter
 }
 
 func newServiceLoad(now time.Time) *serviceLoad {
 	return &serviceLoad{
 		since:    now,
-		interval: firstProbe,
+		interval: minProbeInterval,
 		refusals: make(map[string]refusal),
 		served:   slidingcount.New(rateWindow, now),
 		refused:  slidingcount.New(rateWindow, now),
 	}
 }
 
-// noteServed records that an engine took a request, while others wait. It reports whether the load became LoadWell.
-func (s *serviceLoad) noteServed(now time.Time, engine string, waiting int) bool {
+// recordServed records that an engine accepted a request while others are queued. It reports whether the load became LoadNormal.
+func (s *serviceLoad) recordServed(now time.Time, engine string, waiting int) bool {
 	delete(s.refusals, engine)
 	s.served.Add(now, 1)
 	s.servedAt = now
-	s.interval = firstProbe
-	if s.load == LoadWell {
+	s.interval = minProbeInterval
+	if s.load == LoadNormal {
 		return false
 	}
-	calm := now.Sub(s.refusedAt) >= wellAfter
+	calm := now.Sub(s.refusedAt) >= recoveryTime
 	if calm && waiting == 0 {
-		s.become(now, LoadWell)
+		s.setLoad(now, LoadNormal)
 		return true
 	}
 	if calm {
 		s.limit++
 	} else {
-		s.limit += rampStep / s.limit
+		s.limit += limitRampStep / s.limit
 	}
 	return false
 }
 
-// refusedSend is one send that an engine did not take.
+// refusedSend is a send that an engine did not accept.
 type refusedSend struct {
 	engine string
-	// unreachable is true if the engine could not be reached, rather than refused.
+	// unreachable is true if the engine could not be reached, as opposed to refusing.
 	unreachable bool
 	// exhausted is true if every engine that the request may be sent to has refused it.
 	exhausted bool
-	// engines is how many engines may run the request.
+	// engines is the number of engines permitted to run the request.
 	engines int
 }
 
-// noteRefused records that an engine did not take a request. It reports whether the load changed to LoadFull or LoadDown.
-func (s *serviceLoad) noteRefused(now time.Time, send refusedSend) bool {
+// recordRefused records that an engine did not accept a request. It reports whether the load changed to LoadFull or LoadDown.
+func (s *serviceLoad) recordRefused(now time.Time, send refusedSend) bool {
 	s.refusals[send.engine] = s.nextRefusal(now, s.refusals[send.engine], send.unreachable)
 	s.refused.Add(now, 1)
 	s.refusedAt = now
 	if s.probeAt.Before(now) {
 		s.postponeProbe(now)
 	}
-	refusing, down := s.refusing(now)
-	if s.load == LoadWell && !send.exhausted && 2*refusing <= send.engines {
+	refusing, down := s.countRefusing(now)
+	if s.load == LoadNormal && !send.exhausted && 2*refusing <= send.engines {
 		return false
 	}
 	before := s.load
@@ -145,25 +143,25 @@
 		load = LoadDown
 	}
 	switch {
-	case before == LoadWell:
-		s.limit, s.cutAt = max(1, float64(s.inFlight)), now
-	case now.Sub(s.cutAt) >= cutPause:
-		s.limit, s.cutAt = max(1, s.limit/2), now
+	case before == LoadNormal:
+		s.limit, s.limitCutAt = max(1, float64(s.inFlight)), now
+	case now.Sub(s.limitCutAt) >= limitCutInterval:
+		s.limit, s.limitCutAt = max(1, s.limit/2), now
 	}
-	if before == load || (before != LoadWell && now.Sub(s.since) < wellAfter) {
+	if before == load || (before != LoadNormal && now.Sub(s.since) < recoveryTime) {
 		return false
 	}
-	s.become(now, load)
+	s.setLoad(now, load)
 	return true
 }
 
-func (s *serviceLoad) become(now time.Time, load Load) { s.load, s.since = load, now }
+func (s *serviceLoad) setLoad(now time.Time, load Load) { s.load, s.since = load, now }
 
-// refusing counts the engines that did not take a request within recently, and those of them that could not be reached. It drops records that
-// are older than staleAfter.
-func (s *serviceLoad) refusing(now time.Time) (all, unreachable int) {
+// countRefusing counts the engines that did not accept a request within refusalWindow, and the unreachable ones of them. It deletes records older
+// than staleAfter.
+func (s *serviceLoad) countRefusing(now time.Time) (all, unreachable int) {
 	for id, refusal := range s.refusals {
-		if now.Sub(refusal.at) > recently {
+		if now.Sub(refusal.at) > refusalWindow {
 			if now.Sub(refusal.at) > staleAfter {
 				delete(s.refusals, id)
 			}
@@ -177,66 +175,66 @@
 	return all, unreachable
 }
 
-// nextRefusal returns the record of an engine's new refusal, given its last one.
+// nextRefusal returns the record of an engine's new refusal, based on the last one.
 func (s *serviceLoad) nextRefusal(now time.Time, last refusal, unreachable bool) refusal {
 	if !unreachable {
-		return refusal{at: now, until: now.Add(min(max(busyBackoff, s.interval), maxKnownFull))}
+		return refusal{at: now, until: now.Add(min(max(busyBackoff, s.interval), maxBusyBackoff))}
 	}
-	backoff := min(firstUnreachable<<min(last.failures, 5), maxBackoff)
+	backoff := min(firstUnreachableBackoff<<min(last.failures, 5), maxBackoff)
 	return refusal{at: now, until: now.Add(backoff), unreachable: true, failures: last.failures + 1}
 }
 
-// knownFull reports whether an engine refused so recently that it should not be tried yet.
-func (s *serviceLoad) knownFull(now time.Time, engine string) bool {
+// backingOff reports whether an engine refused so recently that it should not be tried yet.
+func (s *serviceLoad) backingOff(now time.Time, engine string) bool {
 	refusal, ok := s.refusals[engine]
 	return ok && now.Before(refusal.until)
 }
 
-// noteNoCapacity records that there is no engine which may be sent a request now. It reports whether the load became LoadFull.
-func (s *serviceLoad) noteNoCapacity(now time.Time) bool {
+// recordNoCapacity records that no engine may be sent a request now. It reports whether the load became LoadFull.
+func (s *serviceLoad) recordNoCapacity(now time.Time) bool {
 	s.refusedAt = now
-	if s.load != LoadWell {
+	if s.load != LoadNormal {
 		return false
 	}
-	s.limit, s.cutAt = max(1, float64(s.inFlight)), now
-	s.become(now, LoadFull)
+	s.limit, s.limitCutAt = max(1, float64(s.inFlight)), now
+	s.setLoad(now, LoadFull)
 	return true
 }
 
-// mayProbeAgain reports whether a retry may be sent as a probe. It may not while requests are in flight and answers arrive, as these answers show
-// capacity without a retry. A patient one must also wait for silence after the last refusal, as the retry budget pays for few probes.
-func (s *serviceLoad) mayProbeAgain(now time.Time, patient bool) bool {
-	if s.inFlight > 0 && now.Sub(s.servedAt) < silence {
+// mayProbeWithRetry reports whether a retry may be sent as a probe: not while requests in flight are answered, since that shows capacity without
+// a retry. A request with its own queue timeout also waits for retryProbeDelay after the last refusal, to save retry budget.
+func (s *serviceLoad) mayProbeWithRetry(now time.Time, hasQueueTimeout bool) bool {
+	if s.inFlight > 0 && now.Sub(s.servedAt) < retryProbeDelay {
 		return false
 	}
-	return !patient || now.Sub(s.refusedAt) >= silence
+	return !hasQueueTimeout || now.Sub(s.refusedAt) >= retryProbeDelay
 }
 
-// hasCapacity reports whether the last outcome was an answer, not a refusal, and the limit allows another request in flight.
+// hasCapacity reports whether the last outcome was a response, not a refusal, and the limit allows another request in flight.
 func (s *serviceLoad) hasCapacity() bool {
 	if !s.servedAt.After(s.refusedAt) {
 		return false
 	}
-	return s.load == LoadWell || float64(s.inFlight+1) <= s.limit
+	return s.load == LoadNormal || float64(s.inFlight+1) <= s.limit
 }
 
 // probeDue reports whether a request may be sent as a probe.
 func (s *serviceLoad) probeDue(now time.Time) bool { return !now.Before(s.probeAt) }
 
-// noteProbe records that a probe is sent: the interval doubles up to maxProbe, until an engine answers.
-func (s *serviceLoad) noteProbe(now time.Time) {
-	s.interval = min(2*s.interval, maxProbe)
+// recordProbe records that a probe is sent: the interval doubles up to maxProbeInterval until an engine responds.
+func (s *serviceLoad) recordProbe(now time.Time) {
+	s.interval = min(2*s.interval, maxProbeInterval)
 	s.postponeProbe(now)
 }
 
-// postponeProbe sets the next probe one interval, with jitter, from now.
+// postponeProbe schedules the next probe one interval, with jitter, from now.
 func (s *serviceLoad) postponeProbe(now time.Time) {
 	s.probeAt = now.Add(time.Duration(float64(s.interval) * (1 + probeJitter*(2*rand.Float64()-1))))
 }
 
-// turnAfter estimates how long a request waits with so many ahead of it: from the rate of answers, or from the probes if there were no
-// answers within rateWindow.
-func (s *serviceLoad) turnAfter(now time.Time, ahead int) time.Duration {
+// expectedWait estimates how long a request waits behind the given number of others: from the response rate, or from the probe interval if there
+// was no response within rateWindow.
+func (s *serviceLoad) expectedWait(now time.Time, ahead int) time.Duration {
 	served := s.served.Sum(now)
 	if served > 0 {
 		return time.Duration(ahead) * rateWindow / time.Duration(served)
--- a/internal/forward/load_test.go
+++ b/internal/forward/load_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// loadClock gives a serviceLoad its times.
+// loadClock passes a simulated time to a serviceLoad.
 type loadClock struct {
 	*serviceLoad
 	now time.Time
@@ -17,48 +17,48 @@
 	return &loadClock{serviceLoad: newServiceLoad(now), now: now}
 }
 
-func (c *loadClock) pass(length time.Duration) { c.now = c.now.Add(length) }
+func (c *loadClock) advance(length time.Duration) { c.now = c.now.Add(length) }
 
 func (c *loadClock) refuse(engines int, ids ...string) {
 	for _, id := range ids {
-		c.noteRefused(c.now, refusedSend{engine: id, engines: engines})
+		c.recordRefused(c.now, refusedSend{engine: id, engines: engines})
 	}
 }
 
-func TestLoadIsTakenFromRefusals(t *testing.T) {
+func TestLoadFromRefusals(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		play func(c *loadClock)
 		load Load
 	}{
-		{"nothing known", func(*loadClock) {}, LoadWell},
-		{"half of the engines refuse", func(c *loadClock) { c.refuse(4, "a", "b") }, LoadWell},
+		{"no observations", func(*loadClock) {}, LoadNormal},
+		{"half of the engines refuse", func(c *loadClock) { c.refuse(4, "a", "b") }, LoadNormal},
 		{"most refuse", func(c *loadClock) { c.refuse(4, "a", "b", "c") }, LoadFull},
-		{"most refuse, but not lately", func(c *loadClock) { c.refuse(4, "a", "b"); c.pass(2 * recently); c.refuse(4, "c") }, LoadWell},
-		{"one of them answered since", func(c *loadClock) { c.refuse(4, "a", "b"); c.noteServed(c.now, "a", 0); c.refuse(4, "c") }, LoadWell},
-		{"all that a request may go to refuse", func(c *loadClock) { c.noteRefused(c.now, refusedSend{engine: "a", exhausted: true, engines: 4}) }, LoadFull},
-		{"none can be reached", func(c *loadClock) { c.noteRefused(c.now, refusedSend{engine: "a", unreachable: true, engines: 1}) }, LoadDown},
-		{"answers without a refusal for a while", func(c *loadClock) {
+		{"most refuse, but not within the window", func(c *loadClock) { c.refuse(4, "a", "b"); c.advance(2 * refusalWindow); c.refuse(4, "c") }, LoadNormal},
+		{"one of them responded since", func(c *loadClock) { c.refuse(4, "a", "b"); c.recordServed(c.now, "a", 0); c.refuse(4, "c") }, LoadNormal},
+		{"all candidates of a request refuse", func(c *loadClock) { c.recordRefused(c.now, refusedSend{engine: "a", exhausted: true, engines: 4}) }, LoadFull},
+		{"no engine is reachable", func(c *loadClock) { c.recordRefused(c.now, refusedSend{engine: "a", unreachable: true, engines: 1}) }, LoadDown},
+		{"a response after the recovery time", func(c *loadClock) {
 			c.refuse(1, "a")
-			c.pass(wellAfter)
-			c.noteServed(c.now, "a", 0)
-		}, LoadWell},
-		{"an answer soon after a refusal", func(c *loadClock) {
+			c.advance(recoveryTime)
+			c.recordServed(c.now, "a", 0)
+		}, LoadNormal},
+		{"a response within the recovery time", func(c *loadClock) {
 			c.refuse(1, "a")
-			c.pass(wellAfter / 2)
-			c.noteServed(c.now, "a", 0)
+			c.advance(recoveryTime / 2)
+			c.recordServed(c.now, "a", 0)
 		}, LoadFull},
-		{"answers while requests wait", func(c *loadClock) {
+		{"responses while requests are queued", func(c *loadClock) {
 			c.refuse(1, "a")
-			c.pass(wellAfter)
-			c.noteServed(c.now, "a", 3)
+			c.advance(recoveryTime)
+			c.recordServed(c.now, "a", 3)
 		}, LoadFull},
-		{"no engine can be asked", func(c *loadClock) { c.noteNoCapacity(c.now) }, LoadFull},
+		{"no engine may be sent a request", func(c *loadClock) { c.recordNoCapacity(c.now) }, LoadFull},
 	} {
 		clock := newLoadClock()
 		c.play(clock)
 		if clock.load != c.load {
-			t.Errorf("%s: %v, not %v", c.name, clock.load, c.load)
+			t.Errorf("%s: load %v, want %v", c.name, clock.load, c.load)
 		}
 	}
 }
@@ -68,84 +68,84 @@
 	clock.inFlight = 8
 	clock.refuse(1, "a")
 	if clock.limit != 8 {
-		t.Fatalf("limit %v at first, not what still succeeds", clock.limit)
+		t.Fatalf("initial limit %v, want the requests in flight", clock.limit)
 	}
 	clock.refuse(1, "a")
 	if clock.limit != 8 {
-		t.Errorf("limit %v after a second refusal of the same moment", clock.limit)
+		t.Errorf("limit %v after two refusals at the same time, want one cut", clock.limit)
 	}
-	clock.pass(cutPause)
+	clock.advance(limitCutInterval)
 	clock.refuse(1, "a")
 	if clock.limit != 4 {
-		t.Errorf("limit %v after a refusal, not halved", clock.limit)
+		t.Errorf("limit %v after a refusal, want half", clock.limit)
 	}
 	clock.inFlight = 4
 	for range 4 {
-		clock.pass(time.Millisecond)
-		clock.noteServed(clock.now, "a", 1)
+		clock.advance(time.Millisecond)
+		clock.recordServed(clock.now, "a", 1)
 	}
 	if clock.limit <= 4 || clock.limit > 5 || clock.hasCapacity() {
-		t.Errorf("limit %v after a round of answers", clock.limit)
+		t.Errorf("limit %v after a round of responses", clock.limit)
 	}
-	clock.pass(wellAfter)
+	clock.advance(recoveryTime)
 	for range 4 {
-		clock.noteServed(clock.now, "a", 1)
+		clock.recordServed(clock.now, "a", 1)
 	}
 	if clock.limit < 8 || !clock.hasCapacity() {
-		t.Errorf("limit %v after a round of answers without refusals for a while", clock.limit)
+		t.Errorf("limit %v after a round of responses without recent refusals", clock.limit)
 	}
 }
 
-func TestProbesGetRarerUntilAnAnswer(t *testing.T) {
+func TestProbeIntervalGrowsUntilResponse(t *testing.T) {
 	clock := newLoadClock()
 	clock.refuse(1, "a")
 	probes := 0
 	for range 10000 {
-		clock.pass(time.Millisecond)
+		clock.advance(time.Millisecond)
 		if clock.probeDue(clock.now) {
 			probes++
-			clock.noteProbe(clock.now)
+			clock.recordProbe(clock.now)
 			clock.refuse(1, "a")
 		}
 	}
 	if probes < 7 || probes > 14 {
 		t.Errorf("%d probes in 10 s", probes)
 	}
-	clock.noteServed(clock.now, "a", 0)
-	if clock.interval != firstProbe {
-		t.Errorf("interval %v after an answer", clock.interval)
+	clock.recordServed(clock.now, "a", 0)
+	if clock.interval != minProbeInterval {
+		t.Errorf("interval %v after a response", clock.interval)
 	}
 }
 
-func TestEngineThatCannotBeReachedIsLeftAloneLonger(t *testing.T) {
+func TestUnreachableBackoffGrows(t *testing.T) {
 	clock := newLoadClock()
-	var lives []string
+	var backoffs []string
 	for range 6 {
-		clock.noteRefused(clock.now, refusedSend{engine: "a", unreachable: true, engines: 4})
+		clock.recordRefused(clock.now, refusedSend{engine: "a", unreachable: true, engines: 4})
 		began := clock.now
-		for clock.knownFull(clock.now, "a") {
-			clock.pass(10 * time.Millisecond)
+		for clock.backingOff(clock.now, "a") {
+			clock.advance(10 * time.Millisecond)
 		}
-		lives = append(lives, fmt.Sprint(clock.now.Sub(began)))
+		backoffs = append(backoffs, fmt.Sprint(clock.now.Sub(began)))
 	}
-	if fmt.Sprint(lives) != "[250ms 500ms 1s 2s 3s 3s]" {
-		t.Errorf("left alone for %v", lives)
+	if fmt.Sprint(backoffs) != "[250ms 500ms 1s 2s 3s 3s]" {
+		t.Errorf("backoffs %v", backoffs)
 	}
 }
 
-func TestTurnIsToldFromTheRate(t *testing.T) {
+func TestExpectedWaitFromResponseRate(t *testing.T) {
 	clock := newLoadClock()
 	clock.refuse(1, "a")
-	if wait := clock.turnAfter(clock.now, 0); wait > 2*firstProbe {
-		t.Errorf("the first that waits: %v", wait)
+	if wait := clock.expectedWait(clock.now, 0); wait > 2*minProbeInterval {
+		t.Errorf("first in the queue: expected wait %v", wait)
 	}
-	if wait := clock.turnAfter(clock.now, 4); wait < 4*firstProbe {
-		t.Errorf("the fifth of a service that does not answer: %v", wait)
+	if wait := clock.expectedWait(clock.now, 4); wait < 4*minProbeInterval {
+		t.Errorf("fifth in the queue without responses: expected wait %v", wait)
 	}
 	for range 20 {
-		clock.noteServed(clock.now, "a", 0)
+		clock.recordServed(clock.now, "a", 0)
 	}
-	if wait := clock.turnAfter(clock.now, 5); wait != 500*time.Millisecond {
-		t.Errorf("the sixth of a service that answers 10 a second: %v", wait)
+	if wait := clock.expectedWait(clock.now, 5); wait != 500*time.Millisecond {
+		t.Errorf("sixth in the queue at 10 responses a second: expected wait %v", wait)
 	}
 }
--- a/internal/forward/overload_pool_test.go
+++ b/internal/forward/overload_pool_test.go
@@ -13,49 +13,49 @@
 	"github.com/covelink/covelink/internal/routing"
 )
 
-// The engines of the overloaded pool: each works on fallSlots requests at once, queues fallQueue more, and crashes under too many sends a second,
+// Engines of the overloaded pool process engineSlots requests concurrently, queue engineQueue more, and crash under too many sends a second,
 // refused ones included.
 const (
-	fallEngines, fallSlots, fallQueue = 4, 6, 24
-	// fallAway is how long an engine that crashed is away, and fallCold how long it is cold then.
-	fallAway, fallCold = 3 * time.Second, 4 * time.Second
-	// coldRate is how many requests a second a cold engine serves. It refuses more, and crashes under more than coldFalls. A warm one crashes under
-	// more than warmFalls, twice the reward calls that six slots serve a second.
-	coldRate, coldFalls, warmFalls = 3, 9, 150
+	overloadEngineCount, engineSlots, engineQueue = 4, 6, 24
+	// restartTime is how long the restart of a crashed engine takes, and coldTime how long it is cold afterwards.
+	restartTime, coldTime = 3 * time.Second, 4 * time.Second
+	// coldRate is the rate, per second, that a cold engine serves. It refuses more, and crashes above coldCrashRate. A warm one crashes above
+	// warmCrashRate, twice the reward calls that six slots serve a second.
+	coldRate, coldCrashRate, warmCrashRate = 3, 9, 150
 )
 
-// fallPool is a Transport to engines that crash under load, and a Quota for them.
-type fallPool struct {
+// overloadPool is a Transport to engines that crash under load, and a Quota for them.
+type overloadPool struct {
 	mu      sync.Mutex
-	engines []*fallEngine
+	engines []*overloadEngine
 	states  []*fleet.State
-	figures poolFigures
+	stats   poolStats
 }
 
-// poolFigures count what reached the engines.
-type poolFigures struct{ sends, refused, dials, falls int }
+// poolStats counts the sends to the engines.
+type poolStats struct{ sends, refused, dials, crashes int }
 
-// fallEngine is one engine; each start of it has its own ID.
-type fallEngine struct {
+// overloadEngine is one engine; each start of it has its own ID.
+type overloadEngine struct {
 	name      string
 	start     int
 	alive     context.Context
-	fall      context.CancelFunc
+	stop      context.CancelFunc
 	coldUntil time.Time
-	// nextGrant is when a cold engine may be sent the next request.
+	// nextGrant is when a cold engine may be sent its next request.
 	nextGrant time.Time
 	load      int
 	slots     chan struct{}
 	arrivals  []time.Time
 }
 
-func (e *fallEngine) id() string { return fmt.Sprintf("%s.%d", e.name, e.start) }
+func (e *overloadEngine) id() string { return fmt.Sprintf("%s.%d", e.name, e.start) }
 
-func newFallPool(gateways int, table *routing.Table) *fallPool {
-	p := &fallPool{}
-	for i := range fallEngines {
-		engine := &fallEngine{name: fmt.Sprint("engine-", i), slots: make(chan struct{}, fallSlots)}
-		engine.alive, engine.fall = context.WithCancel(context.Background())
+func newOverloadPool(gateways int, table *routing.Table) *overloadPool {
+	p := &overloadPool{}
+	for i := range overloadEngineCount {
+		engine := &overloadEngine{name: fmt.Sprint("engine-", i), slots: make(chan struct{}, engineSlots)}
+		engine.alive, engine.stop = context.WithCancel(context.Background())
 		p.engines = append(p.engines, engine)
 	}
 	for range gateways {
@@ -63,54 +63,54 @@
 		state.SetRoutes(table)
 		p.states = append(p.states, state)
 	}
-	p.tell()
+	p.publish()
 	return p
 }
 
-// tell shows the list to all gateways. The mutex must be held, or nobody else use the pool.
-func (p *fallPool) tell() {
+// publish sends the engine list to all gateways. The mutex must be held, or the pool not yet shared.
+func (p *overloadPool) publish() {
 	var listed []*fleet.Engine
 	for _, engine := range p.engines {
-		listed = append(listed, &fleet.Engine{ID: engine.id(), Service: "s", Address: engine.name, Slots: fallSlots, Ready: true})
+		listed = append(listed, &fleet.Engine{ID: engine.id(), Service: "s", Address: engine.name, Slots: engineSlots, Ready: true})
 	}
 	for _, state := range p.states {
 		state.SetEngineList(listed)
 	}
 }
 
-// crashNumber crashes the engine of a number.
-func (p *fallPool) crashNumber(number int) {
+// crashNumber crashes the engine with the given index.
+func (p *overloadPool) crashNumber(number int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.crash(p.engines[number])
 }
 
-// crash ends an engine, and starts it again later. The mutex must be held.
-func (p *fallPool) crash(engine *fallEngine) {
-	p.figures.falls++
-	engine.fall()
-	time.AfterFunc(fallAway, func() {
+// crash ends an engine and schedules its restart. The mutex must be held.
+func (p *overloadPool) crash(engine *overloadEngine) {
+	p.stats.crashes++
+	engine.stop()
+	time.AfterFunc(restartTime, func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		engine.start++
-		engine.alive, engine.fall = context.WithCancel(context.Background())
+		engine.alive, engine.stop = context.WithCancel(context.Background())
 		engine.load, engine.arrivals = 0, nil
-		engine.slots = make(chan struct{}, fallSlots)
-		engine.coldUntil = time.Now().Add(fallCold)
-		p.tell()
+		engine.slots = make(chan struct{}, engineSlots)
+		engine.coldUntil = time.Now().Add(coldTime)
+		p.publish()
 	})
 }
 
 // Cold implements Quota.
-func (p *fallPool) Cold(listed *fleet.Engine) bool {
+func (p *overloadPool) Cold(listed *fleet.Engine) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	engine := p.find(listed)
 	return engine.id() == listed.ID && time.Now().Before(engine.coldUntil)
 }
 
-// Acquire implements Quota: all gateways together get coldRate sends a second for each cold engine.
-func (p *fallPool) Acquire(ctx context.Context, engines []*fleet.Engine, _ routing.Rank, until time.Time) *fleet.Engine {
+// Acquire implements Quota: each cold engine receives at most coldRate sends a second from all gateways together.
+func (p *overloadPool) Acquire(ctx context.Context, engines []*fleet.Engine, _ routing.Rank, until time.Time) *fleet.Engine {
 	granted, at := p.reserve(engines, until)
 	if granted == nil {
 		return nil
@@ -122,11 +122,11 @@
 	return granted
 }
 
-// reserve returns the engine that is free first, if that is in time, and the moment from which it is.
-func (p *fallPool) reserve(engines []*fleet.Engine, until time.Time) (granted *fleet.Engine, at time.Time) {
+// reserve returns the engine with the earliest free grant, if that is in time, and when it is free.
+func (p *overloadPool) reserve(engines []*fleet.Engine, until time.Time) (granted *fleet.Engine, at time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var free *fallEngine
+	var free *overloadEngine
 	for _, listed := range engines {
 		if engine := p.find(listed); free == nil || engine.nextGrant.Before(at) {
 			free, granted, at = engine, listed, engine.nextGrant
@@ -142,28 +142,28 @@
 	return granted, at
 }
 
-// find returns the engine of an entry. The mutex must be held.
-func (p *fallPool) find(listed *fleet.Engine) *fallEngine {
+// find returns the engine of a list entry. The mutex must be held.
+func (p *overloadPool) find(listed *fleet.Engine) *overloadEngine {
 	for _, engine := range p.engines {
 		if engine.name == listed.Address {
 			return engine
 		}
 	}
-	panic("no such engine")
+	panic("engine is not in the pool")
 }
 
-// arrive records a send. The request is in the engine's queue unless there is a refusal or an error.
-func (p *fallPool) arrive(listed *fleet.Engine) (engine *fallEngine, alive context.Context, refusal *Answer, err error) {
+// arrive records a send. It queues the request unless it returns a refusal or an error.
+func (p *overloadPool) arrive(listed *fleet.Engine) (engine *overloadEngine, alive context.Context, refusal *Answer, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	engine = p.find(listed)
 	if engine.alive.Err() != nil {
-		p.figures.dials++
+		p.stats.dials++
 		return nil, nil, nil, ErrNotSent
 	}
-	p.figures.sends++
+	p.stats.sends++
 	if listed.ID != engine.id() {
-		p.figures.refused++
+		p.stats.refused++
 		return nil, nil, &Answer{NotRun: true, Misdirected: true, Body: http.NoBody}, nil
 	}
 	if p.overloads(engine) {
@@ -171,29 +171,29 @@
 		return nil, nil, nil, ErrBroken
 	}
 	tooCold := time.Now().Before(engine.coldUntil) && len(engine.arrivals) > coldRate
-	if tooCold || engine.load >= fallSlots+fallQueue {
-		p.figures.refused++
+	if tooCold || engine.load >= engineSlots+engineQueue {
+		p.stats.refused++
 		return nil, nil, &Answer{Status: http.StatusServiceUnavailable, NotRun: true, Body: http.NoBody}, nil
 	}
 	engine.load++
 	return engine, engine.alive, nil, nil
 }
 
-// overloads counts a send, and reports whether the engine crashes under it.
-func (p *fallPool) overloads(engine *fallEngine) bool {
+// overloads counts a send and reports whether it crashes the engine.
+func (p *overloadPool) overloads(engine *overloadEngine) bool {
 	now := time.Now()
 	engine.arrivals = append(engine.arrivals, now)
 	for now.Sub(engine.arrivals[0]) > time.Second {
 		engine.arrivals = engine.arrivals[1:]
 	}
 	if now.Before(engine.coldUntil) {
-		return len(engine.arrivals) > coldFalls
+		return len(engine.arrivals) > coldCrashRate
 	}
-	return len(engine.arrivals) > warmFalls
+	return len(engine.arrivals) > warmCrashRate
 }
 
 // Send implements Transport.
-func (p *fallPool) Send(ctx context.Context, listed *fleet.Engine, request *Request, _ SendOptions) (*Answer, error) {
+func (p *overloadPool) Send(ctx context.Context, listed *fleet.Engine, request *Request, _ SendOptions) (*Answer, error) {
 	engine, alive, refusal, err := p.arrive(listed)
 	if refusal != nil || err != nil {
 		return refusal, err
--- a/internal/forward/picker_test.go
+++ b/internal/forward/picker_test.go
@@ -10,8 +10,8 @@
 	"github.com/covelink/covelink/internal/fleet"
 )
 
-// On 250 gateways each took its lookups to any of 15 engines: 3,746 new connections for 6,000 runs and 1,000 lookups.
-func TestPickerKeepsToConnections(t *testing.T) {
+// TestPickerReusesConnections guards against a new connection to another engine for each lookup.
+func TestPickerReusesConnections(t *testing.T) {
 	now := time.Unix(1000, 0)
 	anyEngine := func(*fleet.Engine) bool { return true }
 	newPicker := func() (*Picker, []*fleet.Engine) {
@@ -27,14 +27,14 @@
 		picker.Release(engine, VerdictServed, took)
 		return engine
 	}
-	Convey("One request after another goes to one engine, over the connection that is there", t, func() {
+	Convey("Sequential requests go to one engine over its open connection", t, func() {
 		picker, engines := newPicker()
 		first := serve(picker, engines, 30*time.Millisecond)
 		for range 50 {
 			now = now.Add(time.Second)
 			So(serve(picker, engines, 30*time.Millisecond), ShouldEqual, first)
 		}
-		Convey("unless it turns slow", func() {
+		Convey("unless it becomes slow", func() {
 			others := 0
 			for range 20 {
 				now = now.Add(time.Second)
@@ -51,7 +51,7 @@
 			So(picker.Acquire(engines, anyEngine), ShouldNotEqual, first)
 		})
 	})
-	Convey("Requests at the same time go to several engines, as each needs a connection of its own", t, func() {
+	Convey("Concurrent requests spread over the engines, since each needs a connection", t, func() {
 		picker, engines := newPicker()
 		chosen := make(map[*fleet.Engine]int)
 		for range 30 {
@@ -62,7 +62,7 @@
 			So(count, ShouldEqual, 2)
 		}
 	})
-	Convey("Many callers spread over all engines", t, func() {
+	Convey("Many pickers spread over all engines", t, func() {
 		chosen := make(map[string]int)
 		for range 300 {
 			picker, engines := newPicker()
--- a/internal/forward/placement_bench_test.go
+++ b/internal/forward/placement_bench_test.go
@@ -15,7 +15,7 @@
 	benchZones   = 8
 )
 
-// benchState knows the engines of a deployment of the two-year target: 610 in 8 zones of 2 regions.
+// benchState returns the state of a deployment of 610 engines in 8 zones of 2 regions.
 func benchState(evacuated ...string) *fleet.State {
 	regions := make(map[string]string, benchZones)
 	for i := range benchZones {
@@ -37,8 +37,8 @@
 	return state
 }
 
-// BenchmarkChoice measures the choice of an engine for a lookup, without the filter and with it.
-func BenchmarkChoice(b *testing.B) {
+// BenchmarkSelection measures the selection of an engine for a lookup, with and without the placement filter.
+func BenchmarkSelection(b *testing.B) {
 	bound := placement.Residency{Route: []string{"region-0"}, Tenant: []string{"region-0", "region-1"}}
 	filtered := func(residency placement.Residency) func(view *fleet.View) []*fleet.Engine {
 		return func(view *fleet.View) []*fleet.Engine { return placement.NewFilter(view, residency).Engines("pool") }
--- a/internal/forward/held_test.go
+++ b/internal/forward/quarantine_test.go
@@ -18,18 +18,18 @@
 	"github.com/covelink/covelink/internal/routing"
 )
 
-// everyEngineEnds is a quarantine.Prober of engines that have all ended.
-type everyEngineEnds struct{}
+// allEnginesEnded is a quarantine.Prober that reports every engine as ended.
+type allEnginesEnded struct{}
 
-func (everyEngineEnds) Probe(context.Context, *fleet.Engine) quarantine.Evidence {
+func (allEnginesEnded) Probe(context.Context, *fleet.Engine) quarantine.Evidence {
 	return quarantine.EngineEnded
 }
 
-// breaks is an action of an engine whose connection breaks.
+// breaks is the action of an engine whose connection breaks.
 func breaks(context.Context) (*Answer, error) { return nil, ErrBroken }
 
-// guarded returns a Forwarder to four engines with a guard that grants no trials.
-func guarded(engines Transport, kind routing.Kind) *Forwarder {
+// newGuardedForwarder returns a Forwarder to four engines with a guard that grants no trials.
+func newGuardedForwarder(engines Transport, kind routing.Kind) *Forwarder {
 	state := fleet.NewState()
 	route := routing.Route{Host: "h", Prefix: "/", Kind: kind, Targets: []routing.Target{{Service: "s", Weight: 1}}, MaxAttempts: 4, LatencyObjective: 200 * time.Millisecond}
 	state.SetRoutes(routing.NewTable(1, []routing.Route{route}, nil, routing.Limits{}))
@@ -41,7 +41,7 @@
 	forwarder := New(state, engines, NewPicker(time.Now), log.NewNopLogger())
 	forwarder.Guard = quarantine.NewGuard(quarantine.GuardParams{
 		Table:    quarantine.NewTable(time.Now),
-		Detector: quarantine.NewDetector(quarantine.DetectorParams{Prober: everyEngineEnds{}, Logger: log.NewNopLogger()}),
+		Detector: quarantine.NewDetector(quarantine.DetectorParams{Prober: allEnginesEnded{}, Logger: log.NewNopLogger()}),
 		Ask: func(context.Context, quarantine.Record) (quarantine.TrialReply, error) {
 			return quarantine.TrialReply{Leading: true, Wait: time.Second}, nil
 		},
@@ -50,73 +50,73 @@
 	return forwarder
 }
 
-func do(t *testing.T, forwarder *Forwarder, id string) Result {
+func doRequest(t *testing.T, forwarder *Forwarder, id string) Result {
 	t.Helper()
 	request := &Request{ID: id, Method: http.MethodPost, Host: "h", Target: "/1", Body: []byte("same")}
 	return forwarder.Do(t.Context(), forwarder.state.View().Routes.Match("h", "/1"), request, boottime.Now().Add(time.Second))
 }
 
-func TestTriesThatEndEngines(t *testing.T) {
+func TestCrashingRequestIsQuarantined(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		everywhere := map[string]action{"a": breaks, "b": breaks, "c": breaks, "d": breaks}
-		engines := &script{does: everywhere}
-		forwarder := guarded(engines, routing.KindIdempotent)
-		// Of four engines that the route allows, the first try ends two, the second one, and no other try any.
+		engines := &scriptedTransport{actions: everywhere}
+		forwarder := newGuardedForwarder(engines, routing.KindIdempotent)
+		// Of the four permitted engines, the first attempt may end two and the second one more; later attempts must not run.
 		for try, expected := range []int{2, 3, 3, 3} {
-			result := do(t, forwarder, fmt.Sprint("r", try))
+			result := doRequest(t, forwarder, fmt.Sprint("r", try))
 			if len(engines.sends) != expected {
-				t.Errorf("try %d: %d sends in all, not %d", try, len(engines.sends), expected)
+				t.Errorf("attempt %d: %d sends in total, want %d", try, len(engines.sends), expected)
 			}
 			switch {
 			case try < 2 && result.Outcome != Unknown:
-				t.Errorf("try %d, which ran, ended %v", try, result.Outcome)
+				t.Errorf("attempt %d ran: outcome %v, want unknown", try, result.Outcome)
 			case try >= 2 && (result.Outcome != NotRun || result.Reason != ReasonHeld || result.RetryAfter <= 0):
-				t.Errorf("try %d, which did not run, ended %+v", try, result)
+				t.Errorf("attempt %d must be refused as held: result %+v", try, result)
 			}
 		}
-		engines.does = nil
+		engines.actions = nil
 		forwarder.Guard.Release(quarantine.FingerprintOf("", http.MethodPost, "h", "/1", []byte("same")))
-		if result := do(t, forwarder, "released"); result.Status != http.StatusOK {
-			t.Errorf("released, ended %+v", result)
+		if result := doRequest(t, forwarder, "released"); result.Status != http.StatusOK {
+			t.Errorf("after the release: result %+v", result)
 		}
 	})
 }
 
-func TestBystanderIsCleared(t *testing.T) {
+func TestCompletedRequestIsCleared(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		engines := &script{does: map[string]action{"a": breaks}}
-		forwarder := guarded(engines, routing.KindIdempotent)
+		engines := &scriptedTransport{actions: map[string]action{"a": breaks}}
+		forwarder := newGuardedForwarder(engines, routing.KindIdempotent)
 		for range 20 {
-			if result := do(t, forwarder, "r"); result.Status != http.StatusOK {
-				t.Fatalf("ended %+v", result)
+			if result := doRequest(t, forwarder, "r"); result.Status != http.StatusOK {
+				t.Fatalf("result %+v", result)
 			}
 		}
 		if held, suspect := forwarder.Guard.Table.Count(); held+suspect != 0 {
-			t.Errorf("%d held and %d suspect after a run that ended well", held, suspect)
+			t.Errorf("%d held and %d suspect requests after a completed run", held, suspect)
 		}
 	})
 }
 
-func TestStreamThatEndsItsEngine(t *testing.T) {
+func TestCrashingStreamIsQuarantined(t *testing.T) {
 	cutStream := func(context.Context) (*Answer, error) {
 		a := answer(http.StatusOK, "")
 		a.Body = brokenBody{io.MultiReader(strings.NewReader("half"), errReader{})}
 		return a, nil
 	}
 	synctest.Test(t, func(t *testing.T) {
-		engines := &script{does: map[string]action{"start-0": cutStream, "start-1": cutStream, "start-2": cutStream}}
-		forwarder := guarded(engines, routing.KindStream)
+		engines := &scriptedTransport{actions: map[string]action{"start-0": cutStream, "start-1": cutStream, "start-2": cutStream}}
+		forwarder := newGuardedForwarder(engines, routing.KindStream)
 		for start := range 3 {
 			forwarder.state.SetEngineList([]*fleet.Engine{{ID: fmt.Sprint("start-", start), Service: "s", Slots: 4, Ready: true}})
-			result := do(t, forwarder, "r")
+			result := doRequest(t, forwarder, "r")
 			if result.Stream == nil {
-				t.Fatalf("no stream: %+v", result)
+				t.Fatalf("result without a stream: %+v", result)
 			}
 			_, _ = io.ReadAll(result.Stream)
 			result.Stream.Close()
 		}
-		if result := do(t, forwarder, "r"); result.Reason != ReasonHeld {
-			t.Errorf("after three engines ended under it: %+v", result)
+		if result := doRequest(t, forwarder, "r"); result.Reason != ReasonHeld {
+			t.Errorf("after three engines ended: result %+v", result)
 		}
 	})
 }
--- a/internal/forward/transport.go
+++ b/internal/forward/transport.go
@@ -1,5 +1,5 @@
-// Package forward sends one opaque request to an engine of its service, and to another where the first attempt may be
-// repeated, within the route's attempts and the caller's deadline. Its result says whether the request was executed.
+// Package forward sends an opaque request to an engine of its service, and retries on another engine where the route permits, within the route's
+// attempts and the caller's deadline. The result tells whether the request was executed.
 package forward
 
 import (
@@ -14,76 +14,77 @@
 	"github.com/covelink/covelink/internal/quarantine"
 )
 
-// Request is what a caller sent, for an engine to get unaltered.
+// Request is a caller's request, which engines receive unaltered.
 type Request struct {
-	// ID is the caller's name for this attempt of its own.
+	// ID identifies this attempt of the caller.
 	ID     string
 	Method string
 	Host   string
-	// Target is the path with the query, as it came.
+	// Target is the path with the query, as received.
 	Target string
-	// Header holds the end-to-end fields.
+	// Header holds the end-to-end header fields.
 	Header http.Header
 	Body   []byte
-	// Tenant names on whose behalf the request is made; empty for nobody's. The engine is told it, whatever the header says.
+	// Tenant is the tenant of the request; empty for none. It is passed to the engine and overrides the header.
 	Tenant string
-	// Patience is how long the request may wait for a full service; zero for waitShare of its route's latency objective, as lookups wait.
+	// Patience is how long the request may queue for a full service; zero for the default of interactive requests, queueTimeoutShare of the
+	// route's latency objective.
 	Patience time.Duration
-	// Arrived is the moment of boottime of the caller's first try, by which waiting requests of one rank are ordered; zero for now.
+	// Arrived is the boottime of the caller's first attempt, which orders queued requests of one rank; zero for now.
 	Arrived time.Time
-	// Repeated is true if an engine was sent the request in an earlier call of Do: all its sends are retries then.
+	// Repeated is true if an earlier call of Do sent the request to an engine: all its sends count as retries.
 	Repeated bool
 }
 
-// Fingerprint identifies the request among all attempts of its caller.
+// Fingerprint identifies the request across all attempts of its caller.
 func (r *Request) Fingerprint() quarantine.Fingerprint {
 	return quarantine.FingerprintOf(r.Tenant, r.Method, r.Host, r.Target, r.Body)
 }
 
-// SendOptions are what the system adds to an attempt.
+// SendOptions are the parameters of one attempt.
 type SendOptions struct {
-	// TimeLeft is what the engine may take; zero sets no bound.
+	// TimeLeft is the time that the engine may take; zero for no limit.
 	TimeLeft time.Duration
-	// LeaveBy is the moment of boottime by which the request must leave; after it nothing is sent, and the error wraps ErrNotSent. Zero sets
-	// no bound.
+	// LeaveBy is the boottime by which the request must leave; after it nothing is sent, and the error wraps ErrNotSent. Zero for no
+	// deadline.
 	LeaveBy time.Time
-	// Once is true if the request must not reach the engine twice: the transport sends it on no other connection once a byte of it has left.
+	// Once is true if the request must not reach the engine twice: once a byte of it was sent, the transport uses no other connection.
 	Once bool
 	// Resume continues a stream after the event LastEventID.
 	Resume      bool
 	LastEventID int64
 }
 
-// Answer is the head of an engine's answer. Body must be closed.
+// Answer is the head of an engine's response. The caller must close Body.
 type Answer struct {
 	Status int
-	// NotRun is true if the engine says that it has not executed the request and never will.
+	// NotRun is true if the engine reports that it has not executed the request and never will.
 	NotRun bool
-	// Misdirected is true if the address belongs to another engine; NotRun is true as well.
+	// Misdirected is true if the address belongs to another engine; NotRun is then true as well.
 	Misdirected bool
-	// Valid is true if the answer bears the engine's signature and plain content.
+	// Valid is true if the response bears the engine's signature and has unencoded content.
 	Valid bool
-	// Signature is the engine's mark on its answer.
+	// Signature is the engine's signature of its response.
 	Signature string
-	// WeightVersion is the version that the answer begins with; zero if it is not told.
+	// WeightVersion is the weight version at the start of the response; zero if not reported.
 	WeightVersion int64
-	// VersionField is the name of the field of an event at which the weight version changes.
+	// VersionField is the name of the event field that announces a change of the weight version.
 	VersionField string
 	Header       http.Header
 	Body         io.ReadCloser
 }
 
 var (
-	// ErrNotSent reports an attempt of which no byte left: the engine has not executed the request.
-	ErrNotSent = errors.New("forward: not sent")
-	// ErrLost reports an attempt without an answer that can be used: the engine may have executed the request.
-	ErrLost = errors.New("forward: answer lost")
-	// ErrBroken is an ErrLost whose connection broke before the answer was whole: the engine may have ended.
-	ErrBroken = fmt.Errorf("%w: connection broke", ErrLost)
+	// ErrNotSent reports an attempt of which no byte was sent: the engine has not executed the request.
+	ErrNotSent = errors.New("forward: request not sent to engine")
+	// ErrLost reports an attempt without a usable response: the engine may have executed the request.
+	ErrLost = errors.New("forward: no usable response from engine")
+	// ErrBroken is an ErrLost whose connection broke before the response was complete: the engine may have ended.
+	ErrBroken = fmt.Errorf("%w: connection broken before the response was complete", ErrLost)
 )
 
-// Transport makes one attempt at an engine. The error wraps ErrNotSent, ErrLost or ErrBroken. The end of ctx breaks the attempt off, the
-// body included.
+// Transport makes one attempt at an engine. Its errors wrap ErrNotSent, ErrLost or ErrBroken. The end of ctx aborts the attempt,
+// the response body included.
 type Transport interface {
 	Send(ctx context.Context, engine *fleet.Engine, request *Request, options SendOptions) (*Answer, error)
 }
--- a/internal/forward/waiting.go
+++ b/internal/forward/waiting.go
@@ -15,11 +15,9 @@
 	"github.com/covelink/covelink/internal/routing"
 )
 
-// waitQueues holds the requests of this process that wait for full services, one queue a service. A queue releases requests one by one, by rank
-// and then by arrival: while the service shows capacity, or else as probes at a rising interval that all its requests share. It is safe for
-// concurrent use.
-//
-// Guarantees: a retry is released only if the retry budget grants it; the caller ends each release, and each begin, by one call of end.
+// waitQueues holds this process's requests that wait for full services, one queue per service, ordered by rank and then by arrival. A queue
+// releases requests one by one while the service shows capacity, else as probes at an increasing interval. Retries are released only within the
+// retry budget. Each release and each begin must be followed by one call of end. It is safe for concurrent use.
 type waitQueues struct {
 	budget   *retrybudget.Budget
 	logger   log.Logger
@@ -30,20 +28,20 @@
 // serviceQueue is the load of one service and the requests that wait for it.
 type serviceQueue struct {
 	load *serviceLoad
-	// waiters are in the order in which they are released.
+	// waiters are in release order.
 	waiters []*waiter
-	// timer fires when a probe may be due; nil until one waits.
+	// timer fires when a probe may be due; nil until a request waits.
 	timer *time.Timer
 }
 
-// waiter is a request that waits.
+// waiter is a queued request.
 type waiter struct {
 	rank    routing.Rank
 	arrived time.Time
-	// retry is true if the send has yet to be granted by the retry budget.
+	// retry is true if the retry budget has yet to grant the send.
 	retry bool
-	// patient is true if the request sets its own Patience.
-	patient bool
+	// hasQueueTimeout is true if the request sets its own Patience.
+	hasQueueTimeout bool
 	// released is closed when the request may be sent.
 	released chan struct{}
 }
@@ -62,15 +60,15 @@
 	return queue
 }
 
-// begin counts as in flight a request that is sent without waiting here.
+// begin counts a request as in flight that is sent without queueing.
 func (w *waitQueues) begin(service string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.queue(service).load.inFlight++
 }
 
-// notFull returns a service's load, and those of the engines that did not just refuse.
-func (w *waitQueues) notFull(service string, engines []*fleet.Engine) (Load, []*fleet.Engine) {
+// availableEngines returns a service's load, and those of the engines that are not backing off after a refusal.
+func (w *waitQueues) availableEngines(service string, engines []*fleet.Engine) (Load, []*fleet.Engine) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	load, now := w.queue(service).load, boottime.Now()
@@ -79,15 +77,15 @@
 	}
 	var open []*fleet.Engine
 	for _, engine := range engines {
-		if !load.knownFull(now, engine.ID) {
+		if !load.backingOff(now, engine.ID) {
 			open = append(open, engine)
 		}
 	}
 	return load.load, open
 }
 
-// turnAfter returns how long a request that enters now is expected to wait.
-func (w *waitQueues) turnAfter(service string, rank routing.Rank) time.Duration {
+// expectedWait estimates how long a request that is queued now will wait.
+func (w *waitQueues) expectedWait(service string, rank routing.Rank) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	queue, ahead := w.queue(service), 0
@@ -96,11 +94,11 @@
 			ahead++
 		}
 	}
-	return queue.load.turnAfter(boottime.Now(), ahead)
+	return queue.load.expectedWait(boottime.Now(), ahead)
 }
 
-// wait waits until the request is released, at most until a moment of boottime. It reports whether the request may be sent: it then counts as in
-// flight, and its retry, if it is one, as granted.
+// wait blocks until the request is released, at most until a boottime. It reports whether the request may be sent: it then counts as in flight,
+// and a retry as granted.
 func (w *waitQueues) wait(ctx context.Context, service string, waiting *waiter, until time.Time) bool {
 	waiting.released = make(chan struct{})
 	w.enter(service, waiting)
@@ -132,7 +130,7 @@
 	w.release(service, queue)
 }
 
-// leave takes a waiter out of the queue. It reports false if the waiter was released already.
+// leave removes a waiter from the queue. It returns false if the waiter was already released.
 func (w *waitQueues) leave(service string, waiting *waiter) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -148,15 +146,15 @@
 // endUnused ends a release after which nothing was sent.
 func (w *waitQueues) endUnused(service string) { w.end(service, nil) }
 
-// end ends a send that counted as in flight. note records its outcome, and reports whether the load changed; nil if the outcome says nothing
-// about the load.
-func (w *waitQueues) end(service string, note func(load *serviceLoad, now time.Time, waiting int) (changed bool)) {
+// end ends a send that counted as in flight. record records its outcome and reports whether the load changed; it is nil if the outcome says
+// nothing about the load.
+func (w *waitQueues) end(service string, record func(load *serviceLoad, now time.Time, waiting int) (changed bool)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	queue, now := w.queue(service), boottime.Now()
 	queue.load.inFlight--
 	before, since := queue.load.load, queue.load.since
-	if note != nil && note(queue.load, now, len(queue.waiters)) {
+	if record != nil && record(queue.load, now, len(queue.waiters)) {
 		w.logChange(service, queue, before, now.Sub(since), now)
 	}
 	w.release(service, queue)
@@ -168,15 +166,15 @@
 	defer w.mu.Unlock()
 	queue, now := w.queue(service), boottime.Now()
 	before, since := queue.load.load, queue.load.since
-	if queue.load.noteNoCapacity(now) {
+	if queue.load.recordNoCapacity(now) {
 		w.logChange(service, queue, before, now.Sub(since), now)
 	}
 }
 
-// logChange logs that a service's load changed.
+// logChange logs a change of a service's load.
 func (w *waitQueues) logChange(service string, queue *serviceQueue, before Load, lasted time.Duration, now time.Time) {
 	load := queue.load
-	refusing, unreachable := load.refusing(now)
+	refusing, unreachable := load.countRefusing(now)
 	level.Info(w.logger).Log("msg", "service load changed", "service", service, "load", load.load, "before", before, "lasted", lasted.Round(time.Millisecond),
 		"refused", load.refused.Sum(now), "served", load.served.Sum(now), "window", rateWindow, "engines_refusing", refusing, "engines_unreachable", unreachable,
 		"waiting", len(queue.waiters), "in_flight", load.inFlight, "limit", int(load.limit))
@@ -191,26 +189,26 @@
 		w.probe(service, queue, now)
 	}
 	if len(queue.waiters) > 0 {
-		w.arm(service, queue, queue.load.probeAt.Sub(now))
+		w.scheduleRelease(service, queue, queue.load.probeAt.Sub(now))
 	}
 }
 
 // probe releases the first waiter that may be sent as a probe. The mutex must be held.
 func (w *waitQueues) probe(service string, queue *serviceQueue, now time.Time) {
 	sent := w.releaseOne(service, queue, func(waiting *waiter) bool {
-		return !waiting.retry || queue.load.mayProbeAgain(now, waiting.patient)
+		return !waiting.retry || queue.load.mayProbeWithRetry(now, waiting.hasQueueTimeout)
 	})
 	if !sent {
 		queue.load.postponeProbe(now)
 		return
 	}
-	queue.load.noteProbe(now)
+	queue.load.recordProbe(now)
 }
 
-// releaseOne releases the first waiter that may be sent. It reports false if there is none. The mutex must be held.
-func (w *waitQueues) releaseOne(service string, queue *serviceQueue, may func(waiting *waiter) bool) bool {
+// releaseOne releases the first waiter that may be sent. It returns false if there is none. The mutex must be held.
+func (w *waitQueues) releaseOne(service string, queue *serviceQueue, eligible func(waiting *waiter) bool) bool {
 	for i, waiting := range queue.waiters {
-		if !may(waiting) || waiting.retry && !w.budget.Take(service) {
+		if !eligible(waiting) || waiting.retry && !w.budget.Take(service) {
 			continue
 		}
 		queue.waiters = slices.Delete(queue.waiters, i, i+1)
@@ -221,8 +219,8 @@
 	return false
 }
 
-// arm calls release again after a time. The mutex must be held.
-func (w *waitQueues) arm(service string, queue *serviceQueue, after time.Duration) {
+// scheduleRelease calls release after a delay. The mutex must be held.
+func (w *waitQueues) scheduleRelease(service string, queue *serviceQueue, after time.Duration) {
 	if queue.timer == nil {
 		queue.timer = time.AfterFunc(after, func() {
 			w.mu.Lock()
@@ -238,15 +236,15 @@
 type ServiceStatus struct {
 	Service string
 	Load    Load
-	// Since is the moment of boottime since which the load has been the same.
+	// Since is the boottime of the last change of the load.
 	Since time.Time
 	// Waiting and InFlight count this process's requests.
 	Waiting, InFlight int
-	// RetryRatio is the retries for each first send within the retry budget's window.
+	// RetryRatio is the number of retries per first send within the retry budget's window.
 	RetryRatio float64
 }
 
-// statuses returns the status of each service that a request came for.
+// statuses returns the status of each service that requests were handled for.
 func (w *waitQueues) statuses() []ServiceStatus {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/forward/waiting_test.go
+++ b/internal/forward/waiting_test.go
@@ -16,22 +16,22 @@
 	"github.com/covelink/covelink/internal/tenants"
 )
 
-// oneSlot is an engine that works on one request at a time, and refuses others. It keeps the order in which it took them.
-type oneSlot struct {
-	mu    sync.Mutex
-	busy  bool
-	taken []string
+// singleSlotEngine processes one request at a time and refuses others. It records the order in which it accepted them.
+type singleSlotEngine struct {
+	mu       sync.Mutex
+	busy     bool
+	accepted []string
 }
 
 // Send implements Transport.
-func (e *oneSlot) Send(ctx context.Context, _ *fleet.Engine, request *Request, _ SendOptions) (*Answer, error) {
+func (e *singleSlotEngine) Send(ctx context.Context, _ *fleet.Engine, request *Request, _ SendOptions) (*Answer, error) {
 	e.mu.Lock()
 	if e.busy {
 		e.mu.Unlock()
 		return refused(ctx)
 	}
 	e.busy = true
-	e.taken = append(e.taken, request.ID)
+	e.accepted = append(e.accepted, request.ID)
 	e.mu.Unlock()
 	time.Sleep(40 * time.Millisecond)
 	e.mu.Lock()
@@ -40,10 +40,10 @@
 	return answer(200, ""), nil
 }
 
-// A tenant's priority goes before the route's also among requests that wait for a full service.
-func TestWaitingOrder(t *testing.T) {
+// TestQueueOrder checks that a tenant's priority precedes the route's in the queue of a full service.
+func TestQueueOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		Convey("Of the requests that wait for a full service the most urgent tenant's is served first, whoever came first", t, func() {
+		Convey("Queued requests of the most urgent tenant are served first, whatever the order of arrival", t, func() {
 			route := routing.Route{
 				Host: "h", Prefix: "/", Kind: routing.KindIdempotent, MaxAttempts: 1, LatencyObjective: 10 * time.Second,
 				Targets: []routing.Target{{Service: "s", Weight: 1}},
@@ -57,18 +57,18 @@
 			state := fleet.NewState()
 			state.SetRoutes(table)
 			state.SetEngineList([]*fleet.Engine{{ID: "e", Service: "s", Ready: true}})
-			engine := &oneSlot{}
+			engine := &singleSlotEngine{}
 			forwarder := New(state, engine, NewPicker(time.Now), log.NewNopLogger())
-			var asking sync.WaitGroup
+			var callers sync.WaitGroup
 			for _, tenant := range []string{"holder", "third", "second", "first"} {
-				asking.Go(func() {
+				callers.Go(func() {
 					request := &Request{ID: tenant, Tenant: tenant}
 					forwarder.Do(context.Background(), table.Match("h", "/"), request, boottime.Now().Add(time.Minute))
 				})
 				time.Sleep(time.Millisecond)
 			}
-			asking.Wait()
-			So(engine.taken, ShouldResemble, []string{"holder", "first", "second", "third"})
+			callers.Wait()
+			So(engine.accepted, ShouldResemble, []string{"holder", "first", "second", "third"})
 		})
 	})
 }
--- a/internal/permits/journal.go
+++ b/internal/permits/journal.go
@@ -1,13 +1,12 @@
-// Package permits lets one process at a time act on outside systems that may not check who acts.
+// Package permits ensures that one process at a time acts on external systems that may not check a fencing token.
 //
-// A Journal is an object of the metadata store in which the process that leads a term records, before each act, on which subject it is
-// about to act: an engine that is given an order, or a duty towards the platform. The object is changed on the condition of its revision
-// and bears the term's token.
+// A Journal is a metastore object in which the leader of a term records each act on a subject (an order to an engine, or a duty towards the
+// platform) before it is performed. Each write is conditional on the object's revision and bears the term's token.
 //
-// Guarantees: after a journal of a later term was opened, no earlier one permits an act. The last act of another process on a subject has
-// left and arrived, or never will, before this one permits one on it; and a process that acted on a subject before another did waits a lease
-// length from then. Only that subject waits. So no outside system sees a lower token after a higher one, nor two processes by turns within a
-// lease length, even if it checks nothing.
+// Guarantees: once a journal of a later term is open, no earlier one permits an act. An act on a subject is permitted only after the last act of
+// another process on it has arrived or never will, and, if this process acted before that one, a lease length after its own last act; other
+// subjects do not wait. So no external system receives a lower token after a higher one, or acts of alternating processes within a lease length,
+// even if it checks nothing.
 package permits
 
 import (
@@ -25,102 +24,101 @@
 )
 
 const (
-	// KindJournals is the kind of the journals' objects.
+	// KindJournals is the metastore kind of the journals.
 	KindJournals = "order-journals"
-	// Window is how long after the start of the write that permits an act it may leave: a store that serves answers within some hundred
-	// milliseconds.
+	// Window is the validity of a permit, from the start of the write that grants it.
 	Window = 700 * time.Millisecond
-	// clockMargin is for timers that fire early or late.
+	// clockMargin allows for timers that fire early or late.
 	clockMargin = 100 * time.Millisecond
 	// retryPause is the pause between two attempts to open a journal.
 	retryPause = 500 * time.Millisecond
 )
 
-// ErrLost reports that a process with a later term acts.
-var ErrLost = errors.New("permits: a later term acts")
+// ErrLost reports that a process with a later term has taken over the journal.
+var ErrLost = errors.New("permits: journal taken over by a later term")
 
-// Params are what a Journal works with.
+// Params are the parameters of a Journal.
 type Params struct {
 	Store metastore.Client
-	// Name is the journal's: there is one for each set of subjects.
+	// Name is the journal's name; there is one journal for each set of subjects.
 	Name string
-	// Holder and Token name the process that acts and its term.
+	// Holder and Token identify the acting process and its term.
 	Holder string
 	Token  int64
-	// LeaseLength is the least time between two acts of one process on a subject on which another acts in between.
+	// LeaseLength is the minimum time between two acts of one process on a subject on which another process acts in between.
 	LeaseLength time.Duration
-	// Transit is how long after it left an act may arrive: that is how long a connection keeps bytes that are not acknowledged.
+	// Transit is how long after it was sent an act may arrive: the time for which a connection keeps unacknowledged bytes.
 	Transit time.Duration
 }
 
-// Journal records acts before they are done. It is safe for concurrent use.
+// Journal records acts before they are performed. It is safe for concurrent use.
 type Journal struct {
 	Params
 
-	// turn holds one token, taken by whoever calls the store.
-	turn chan struct{}
-	// cell is the object. It belongs to whoever has the turn.
+	// storeLock is a semaphore with one slot, held during store calls. Unlike a mutex it can be awaited with a context.
+	storeLock chan struct{}
+	// cell is the journal's object. It is guarded by storeLock.
 	cell *metastore.Cell
 
 	mu sync.Mutex
-	// acts are the newest permitted acts by subject.
+	// acts maps each subject to its newest permitted act. It is guarded by mu.
 	acts map[string]act
 }
 
-// act is the newest act on a subject that may have been done.
+// act is the newest act on a subject that may have been performed.
 type act struct {
 	holder string
 	at     time.Time
-	// earlier are the last acts of other holders.
+	// earlier holds the times of the last acts of other holders.
 	earlier map[string]time.Time
 }
 
-// journalSpec is the object's content.
+// journalSpec is the content of the stored object.
 type journalSpec struct {
 	Token int64                `json:"token"`
 	Acts  map[string]actRecord `json:"orders"`
 }
 
-// actRecord is a permitted act in the store.
+// actRecord is a stored act.
 type actRecord struct {
 	Holder string `json:"holder"`
-	// AgeMillis is how long before the write the act was permitted, in milliseconds. Clocks of different machines need not agree: a reader
-	// counts it from when it reads.
+	// AgeMillis is the age of the act at the time of the write, in milliseconds. Clocks of different machines need not agree: a reader counts the
+	// age from the time of the read.
 	AgeMillis int64 `json:"ageMillis"`
-	// Earlier are the ages of the last acts of other holders, by holder.
+	// Earlier holds the ages of the last acts of other holders, in milliseconds, by holder.
 	Earlier map[string]int64 `json:"earlier,omitempty"`
 }
 
 // New returns the journal of a term. Its first permit takes the object over.
 func New(params Params) *Journal {
 	cell := metastore.NewCell(params.Store, KindJournals, params.Name, Window)
-	return &Journal{Params: params, turn: make(chan struct{}, 1), cell: cell, acts: make(map[string]act)}
+	return &Journal{Params: params, storeLock: make(chan struct{}, 1), cell: cell, acts: make(map[string]act)}
 }
 
-// handover is how long after another process's last act this one acts.
-func (j *Journal) handover() time.Duration { return Window + j.Transit + clockMargin }
+// handoverDelay is how long after another process's last act this one may act.
+func (j *Journal) handoverDelay() time.Duration { return Window + j.Transit + clockMargin }
 
-// memory is how long an act matters.
-func (j *Journal) memory() time.Duration { return j.LeaseLength + j.handover() }
+// retention is how long an act is kept in the journal.
+func (j *Journal) retention() time.Duration { return j.LeaseLength + j.handoverDelay() }
 
-// Permit records acts on subjects. It returns the subjects that may be acted on, until the deadline, a moment of boottime; the others have
-// to wait. ErrLost if a later term acts. After any error nothing may be done.
+// Permit records acts on subjects. It returns the subjects that may be acted on until the deadline, in boottime; the others must wait. It returns
+// ErrLost if a later term has taken over. After any error no act may be performed.
 func (j *Journal) Permit(ctx context.Context, subjects []string) (allowed []string, deadline time.Time, err error) {
 	ctx, cancel := context.WithTimeout(ctx, Window)
 	defer cancel()
 	select {
-	case j.turn <- struct{}{}:
+	case j.storeLock <- struct{}{}:
 	case <-ctx.Done():
 		return nil, time.Time{}, ctx.Err()
 	}
-	defer func() { <-j.turn }()
+	defer func() { <-j.storeLock }()
 	if !j.cell.Known() {
 		if err := j.open(ctx); err != nil {
 			return nil, time.Time{}, err
 		}
 	}
 	started := boottime.Now()
-	allowed = j.note(subjects, started)
+	allowed = j.recordActs(subjects, started)
 	if len(allowed) == 0 {
 		return nil, time.Time{}, nil
 	}
@@ -130,12 +128,12 @@
 	return allowed, started.Add(Window), nil
 }
 
-// note takes in acts on those subjects that need not wait, and returns them.
-func (j *Journal) note(subjects []string, now time.Time) (allowed []string) {
+// recordActs records acts on the subjects that need not wait, and returns these subjects.
+func (j *Journal) recordActs(subjects []string, now time.Time) (allowed []string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for _, subject := range subjects {
-		if j.waits(subject, now) {
+		if j.mustWait(subject, now) {
 			continue
 		}
 		allowed = append(allowed, subject)
@@ -144,7 +142,7 @@
 	return allowed
 }
 
-// followedBy returns an act of a holder after this one.
+// followedBy returns the act of a holder that follows this one.
 func (a act) followedBy(holder string, at time.Time) act {
 	next := act{holder: holder, at: at, earlier: maps.Clone(a.earlier)}
 	if a.holder != "" && a.holder != holder {
@@ -157,27 +155,27 @@
 	return next
 }
 
-// MayAct reports whether a subject need not wait for earlier acts to grow old.
+// MayAct reports whether a subject may be acted on without waiting for earlier acts to expire.
 func (j *Journal) MayAct(subject string, now time.Time) bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return !j.waits(subject, now)
+	return !j.mustWait(subject, now)
 }
 
-// waits is the opposite of MayAct. The mutex must be held.
-func (j *Journal) waits(subject string, now time.Time) bool {
+// mustWait is the negation of MayAct. The mutex must be held.
+func (j *Journal) mustWait(subject string, now time.Time) bool {
 	last, ok := j.acts[subject]
 	if !ok || last.holder == j.Holder {
 		return false
 	}
-	if now.Sub(last.at) < j.handover() {
+	if now.Sub(last.at) < j.handoverDelay() {
 		return true
 	}
 	own, acted := last.earlier[j.Holder]
-	return acted && now.Sub(own) < j.memory()
+	return acted && now.Sub(own) < j.retention()
 }
 
-// TakeOver opens the journal, as often as it takes, until ctx ends.
+// TakeOver opens the journal. It retries until it succeeds, a later term has taken over, or ctx ends.
 func (j *Journal) TakeOver(ctx context.Context) {
 	for ctx.Err() == nil {
 		if _, _, err := j.Permit(ctx, nil); err == nil || errors.Is(err, ErrLost) {
@@ -187,27 +185,27 @@
 	}
 }
 
-// open reads the object and writes it under the term's token.
+// open reads the object and writes it with the term's token.
 func (j *Journal) open(ctx context.Context) error {
 	content, err := j.cell.Read(ctx)
 	if err == nil && content != nil {
-		err = j.take(content)
+		err = j.merge(content)
 	}
 	if err == nil {
 		err = j.write(ctx, boottime.Now())
 	}
 	if err != nil {
-		// Nothing may be written over what a later term has recorded, or over what is not known.
+		// Content of a later term, or unknown content, must not be overwritten.
 		j.cell.Forget()
 	}
 	return err
 }
 
-// take reads what others have recorded.
-func (j *Journal) take(content json.RawMessage) error {
+// merge adds the recorded acts of other processes.
+func (j *Journal) merge(content json.RawMessage) error {
 	var spec journalSpec
 	if err := json.Unmarshal(content, &spec); err != nil {
-		return fmt.Errorf("permits: journal %s: %w", j.Name, err)
+		return fmt.Errorf("permits: decoding journal %s: %w", j.Name, err)
 	}
 	if spec.Token > j.Token {
 		return ErrLost
@@ -245,20 +243,20 @@
 	return j.cell.Write(ctx, content)
 }
 
-// encode returns the object's content, without the acts that matter no longer.
+// encode returns the object's content. It drops expired acts.
 func (j *Journal) encode(now time.Time) (json.RawMessage, error) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	spec := journalSpec{Token: j.Token, Acts: make(map[string]actRecord, len(j.acts))}
 	for subject, last := range j.acts {
 		age := now.Sub(last.at)
-		if age > j.memory() {
+		if age > j.retention() {
 			delete(j.acts, subject)
 			continue
 		}
 		record := actRecord{Holder: last.holder, AgeMillis: age.Milliseconds()}
 		for holder, at := range last.earlier {
-			if now.Sub(at) > j.memory() {
+			if now.Sub(at) > j.retention() {
 				continue
 			}
 			if record.Earlier == nil {
--- a/internal/permits/journal_test.go
+++ b/internal/permits/journal_test.go
@@ -23,7 +23,7 @@
 		})
 	}
 	ctx := context.Background()
-	play("A journal of a later term ends the permits of the earlier one, whoever asks first", func(store *metastoretest.Store) {
+	play("A journal of a later term ends the permits of the earlier one, whichever calls first", func(store *metastoretest.Store) {
 		first := open(store, "node-1", 1)
 		allowed, deadline, err := first.Permit(ctx, []string{"a", "b"})
 		So(err, ShouldBeNil)
@@ -41,7 +41,7 @@
 		_, _, err = first.Permit(ctx, []string{"d"})
 		So(errors.Is(err, ErrLost), ShouldBeTrue)
 	})
-	play("A subject waits until the last act of another holder has arrived, counted from its record, and no longer", func(store *metastoretest.Store) {
+	play("A subject waits until the recorded act of another holder has arrived, and no longer", func(store *metastoretest.Store) {
 		first := open(store, "node-1", 1)
 		_, _, err := first.Permit(ctx, []string{"a"})
 		So(err, ShouldBeNil)
@@ -63,8 +63,8 @@
 			So(allowed, ShouldResemble, c.allowed)
 		}
 	})
-	play("A holder that acted before another did waits a lease length from its own act, across several terms", func(store *metastoretest.Store) {
-		// begin takes the journal over and waits until the last act of another holder has arrived.
+	play("A holder that acted before another did waits a lease length from its own act, over several terms", func(store *metastoretest.Store) {
+		// begin takes over the journal and waits until the last act of another holder has arrived.
 		begin := func(holder string, token int64) *Journal {
 			j := open(store, holder, token)
 			j.TakeOver(ctx)
@@ -84,7 +84,7 @@
 		time.Sleep(leaseLength - Window - transit)
 		So(permitted(back), ShouldResemble, []string{"a"})
 	})
-	play("A holder that acts again and again on a subject never waits", func(store *metastoretest.Store) {
+	play("A holder that acts repeatedly on a subject never waits", func(store *metastoretest.Store) {
 		j := open(store, "node-1", 1)
 		for range 5 {
 			allowed, _, err := j.Permit(ctx, []string{"a"})
@@ -92,7 +92,7 @@
 			So(allowed, ShouldResemble, []string{"a"})
 		}
 	})
-	play("A write without an answer permits nothing, and the next one does", func(store *metastoretest.Store) {
+	play("A write without a reply permits nothing, and a later one succeeds", func(store *metastoretest.Store) {
 		client := store.Client()
 		fault := metastoretest.None
 		client.Fault = func(_, _ string, write bool) metastoretest.Fault {
@@ -116,7 +116,7 @@
 	})
 }
 
-// permitOne asks for one engine.
+// permitOne requests a permit for one subject.
 func (j *Journal) permitOne(ctx context.Context) ([]string, error) {
 	allowed, _, err := j.Permit(ctx, []string{"a"})
 	return allowed, err
--- a/internal/permits/suspended_test.go
+++ b/internal/permits/suspended_test.go
@@ -11,8 +11,7 @@
 	"github.com/covelink/covelink/internal/permits"
 )
 
-// A permit whose holder is suspended is over when the holder wakes, and the holder's next act stands in the journal at its own time: the one
-// before it is as old as it is, not as old as the steady clock tells.
+// TestPermitOfSuspendedHolder guards against a permit that outlives a suspension of its holder because the monotonic clock stops.
 func TestPermitOfSuspendedHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		journal := permits.New(permits.Params{
@@ -30,7 +29,7 @@
 		}
 		boottime.SimulateSuspension(10 * time.Second)
 		if boottime.Now().Before(deadline) {
-			t.Error("the permit has outlived the suspension")
+			t.Error("the permit is still valid after the suspension")
 		}
 	})
 }
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,8 +1,8 @@
-// Package placement decides which engines may run a request. Its filter is a pure function of the state of the deployment, and every path that
-// sends a request to an engine uses it: lookups, reward calls and the items of batch jobs. The caller chooses among the permitted engines.
+// Package placement decides which engines may run a request. Its filter is a pure function of the deployment's state, used on every path to an
+// engine: lookups, reward calls and items of batch jobs. The caller selects among the permitted engines.
 //
-// Guarantees: an engine that the filter permits is not leaving, its zone is known not to be evacuated, and its region is allowed by both the
-// request's route and its tenant. Where that is unknown, nothing is permitted.
+// Guarantees: a permitted engine is not draining, its zone is known not to be evacuated, and its region is allowed by both the request's route
+// and its tenant. If any of this is unknown, nothing is permitted.
 package placement
 
 import (
@@ -13,35 +13,35 @@
 	"github.com/covelink/covelink/internal/routing"
 )
 
-// Reason is why an engine may not run a request. Its value stands in logs and metrics.
+// Reason is why an engine may not run a request, as used in logs and metrics.
 type Reason string
 
 // The reasons.
 const (
 	// Permitted means that the engine may run the request.
 	Permitted Reason = ""
-	// EngineLeaving means that the engine takes no new work before it ends.
+	// EngineLeaving means that the engine accepts no new work before it ends.
 	EngineLeaving Reason = "engine leaving"
 	// ZoneEvacuated means that operators have evacuated the engine's zone.
 	ZoneEvacuated Reason = "zone evacuated"
-	// EvacuationsUnknown means that this process does not know yet which zones are evacuated.
+	// EvacuationsUnknown means that this process has not yet received the list of evacuated zones.
 	EvacuationsUnknown Reason = "evacuations unknown"
-	// RegionNotAllowed means that the request's data may not go to the engine's region.
+	// RegionNotAllowed means that the request's data may not be sent to the engine's region.
 	RegionNotAllowed Reason = "region not allowed"
-	// NoRegionAllowed means that no region of the deployment is allowed by both the route and the tenant: under this configuration no engine may
+	// NoRegionAllowed means that no region of the deployment is allowed by both the route and the tenant: with this configuration no engine may
 	// run the request.
 	NoRegionAllowed Reason = "no region allowed"
 )
 
-// Residency is in which regions the data of a request may be. The zero value allows all.
+// Residency restricts the regions that may hold a request's data. The zero value allows all.
 type Residency struct {
-	// Route and Tenant are the regions that the route and the tenant allow; empty for all. A region must be allowed by both.
+	// Route and Tenant are the regions allowed by the route and by the tenant; empty for all. A region must be allowed by both.
 	Route, Tenant []string
-	// Accepted are the sets of regions that were in force when the data was accepted. A region must be allowed by each of them too.
+	// Accepted are the region sets in force when the data was accepted. A region must be allowed by each of them too.
 	Accepted [][]string
 }
 
-// ResidencyOf returns the residency of a tenant's requests that come by a route of the table.
+// ResidencyOf returns the residency of a tenant's requests on a route of the table.
 func ResidencyOf(table *routing.Table, route *routing.Route, tenant string) Residency {
 	residency := Residency{Route: route.AllowedRegions}
 	if table != nil && tenant != "" {
@@ -50,8 +50,8 @@
 	return residency
 }
 
-// Key returns a key for maps: two residencies with the same key allow the same regions. It is empty if all are allowed. Names of regions contain
-// neither of its separators.
+// Key returns a map key: residencies with the same key allow the same regions. It is empty if all are allowed. Region names contain neither of
+// its separators.
 func (r Residency) Key() string {
 	var key strings.Builder
 	for _, set := range r.Sets() {
@@ -66,7 +66,7 @@
 	return len(r.Route) > 0 || len(r.Tenant) > 0 || slices.ContainsFunc(r.Accepted, func(set []string) bool { return len(set) > 0 })
 }
 
-// Allows reports whether the data may be in a region. The empty name, for an unknown region, is allowed only if the residency is not bounded.
+// Allows reports whether the data may be in a region. The empty name, for an unknown region, is allowed only if the residency is unrestricted.
 func (r Residency) Allows(region string) bool {
 	for _, accepted := range r.Accepted {
 		if !allows(accepted, region) {
@@ -76,7 +76,7 @@
 	return allows(r.Route, region) && allows(r.Tenant, region)
 }
 
-// Sets returns the sets of regions that bound the residency. A region must be in all of them.
+// Sets returns the region sets that restrict the residency. A region must be in all of them.
 func (r Residency) Sets() [][]string {
 	var sets [][]string
 	for _, set := range append([][]string{r.Route, r.Tenant}, r.Accepted...) {
@@ -91,7 +91,7 @@
 	return len(regions) == 0 || slices.Contains(regions, region)
 }
 
-// Regions returns the regions of the topology in which the data may be, in the order of the names of their first zones.
+// Regions returns the allowed regions of the topology, ordered by the names of their first zones.
 func (r Residency) Regions(topology fleet.Topology) []string {
 	var regions []string
 	for _, zone := range topology.Zones() {
@@ -103,13 +103,13 @@
 	return regions
 }
 
-// Filter tells which engines of one view of the deployment may run a request.
+// Filter determines which engines in a view of the deployment may run a request.
 type Filter struct {
 	view      *fleet.View
 	residency Residency
 }
 
-// NewFilter returns the Filter of a view for requests of a residency.
+// NewFilter returns the Filter of a view for requests with the given residency.
 func NewFilter(view *fleet.View, residency Residency) Filter {
 	return Filter{view: view, residency: residency}
 }
@@ -129,8 +129,8 @@
 	return Permitted
 }
 
-// Engines returns the engines of a service that may run the request now, in the order of their IDs. If the residency is not bounded it takes
-// constant time, however many engines there are. The result must not be changed.
+// Engines returns the engines of a service that may run the request now, ordered by ID. It takes constant time if the residency is unrestricted.
+// The result must not be modified.
 func (f Filter) Engines(service string) []*fleet.Engine {
 	open := f.view.Open(service)
 	if !f.residency.Bounded() {
@@ -145,7 +145,7 @@
 	return permitted
 }
 
-// Explain returns why Engines is empty for a service, or Permitted if the service has no engine that is ready.
+// Explain returns why Engines is empty for a service, or Permitted if the service has no ready engine.
 func (f Filter) Explain(service string) Reason {
 	if f.residency.Bounded() && len(f.residency.Regions(f.view.Topology)) == 0 {
 		return NoRegionAllowed
@@ -154,7 +154,7 @@
 	for _, engine := range f.view.Ready(service) {
 		reason = f.Check(engine)
 		if reason == ZoneEvacuated && f.residency.Allows(f.view.Topology.Region(engine.Zone)) {
-			// Operators can change this one by restoring the zone: it is the reason to tell.
+			// Operators can resolve this reason by restoring the zone, so it takes precedence.
 			return reason
 		}
 	}
--- a/internal/retrybudget/retrybudget.go
+++ b/internal/retrybudget/retrybudget.go
@@ -1,8 +1,7 @@
-// Package retrybudget bounds how much retries add to the load of each service, as Finagle's RetryBudget and Envoy's retry budgets do.
+// Package retrybudget limits the load that retries add to each service, like the retry budgets of Finagle and Envoy.
 //
-// Guarantees: the retries granted within a window are at most Share of the first sends of that window, plus those of a reserve. The reserve holds
-// Reserve retries and is refilled by one each RefillTime. A call takes constant time, and memory grows with the number of services only. A Budget
-// is safe for concurrent use.
+// Guarantees: the retries granted within a window are at most Share of its first sends, plus those of a reserve of Reserve retries, of which one
+// is refilled each RefillTime. Calls take constant time, and memory grows with the number of services only. A Budget is safe for concurrent use.
 package retrybudget
 
 import (
@@ -12,17 +11,17 @@
 	"github.com/covelink/covelink/internal/slidingcount"
 )
 
-// Params are the bounds.
+// Params are the parameters of a Budget.
 type Params struct {
-	// Share is the most retries for each first send.
+	// Share is the maximum number of retries per first send.
 	Share float64
-	// Window is the time over which first sends and retries are counted.
+	// Window is the period over which first sends and retries are counted.
 	Window time.Duration
-	// Reserve is how many retries are granted whatever the first sends, so that a rarely used service can be retried.
+	// Reserve is the number of retries granted regardless of first sends, so that requests to a rarely used service can be retried.
 	Reserve int
-	// RefillTime is how long it takes until a retry of the reserve that was used may be granted again.
+	// RefillTime is the time after which one used retry of the reserve is granted again.
 	RefillTime time.Duration
-	// Now reads a clock that does not go back.
+	// Now reads a clock that never goes backwards.
 	Now func() time.Time
 }
 
@@ -34,35 +33,35 @@
 	services map[string]*counts
 }
 
-// counts are those of one service.
+// counts holds the counts of one service.
 type counts struct {
-	// first counts the first sends of the window, and retries those granted within Share.
+	// first counts the first sends within the window, and retries the retries granted within Share.
 	first, retries slidingcount.Counter
-	// reserveUsed is how many retries of the reserve were granted and not refilled by refilledAt.
+	// reserveUsed is the number of reserve retries granted and not refilled by refilledAt.
 	reserveUsed int
 	refilledAt  time.Time
-	// fromReserve is true if the last retry that was asked for was beyond Share. Return uses it to choose which of the two counts to reduce; it
-	// may choose the other one where calls interleave.
+	// fromReserve is true if the last requested retry exceeded Share. Return uses it to select the count to reduce; concurrent calls may make it
+	// select the other one.
 	fromReserve bool
 }
 
-// New returns an unused Budget.
+// New returns a Budget with a full reserve.
 func New(params Params) *Budget {
 	return &Budget{params: params, origin: params.Now(), services: make(map[string]*counts)}
 }
 
-// First counts a request's first send to a service.
-func (b *Budget) First(service string) {
+// RecordFirst counts a request's first send to a service.
+func (b *Budget) RecordFirst(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.of(service).first.Add(b.params.Now(), 1)
+	b.countsFor(service).first.Add(b.params.Now(), 1)
 }
 
 // Take reports whether a retry may be sent to a service now, and counts it if so.
 func (b *Budget) Take(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	now, counts := b.params.Now(), b.of(service)
+	now, counts := b.params.Now(), b.countsFor(service)
 	counts.fromReserve = float64(counts.retries.Sum(now)+1) > b.params.Share*float64(counts.first.Sum(now))
 	if !counts.fromReserve {
 		counts.retries.Add(now, 1)
@@ -87,11 +86,11 @@
 	counts.refilledAt = counts.refilledAt.Add(time.Duration(back) * b.params.RefillTime)
 }
 
-// Return gives back a retry that was granted and not sent.
+// Return returns a retry to the budget that was granted and not sent.
 func (b *Budget) Return(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	counts := b.of(service)
+	counts := b.countsFor(service)
 	if counts.fromReserve && counts.reserveUsed > 0 {
 		counts.reserveUsed--
 		return
@@ -101,11 +100,11 @@
 	}
 }
 
-// Ratio returns the retries within Share for each first send to a service, over the window; zero without a first send.
+// Ratio returns the retries granted within Share per first send to a service, over the window; zero without first sends.
 func (b *Budget) Ratio(service string) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	now, counts := b.params.Now(), b.of(service)
+	now, counts := b.params.Now(), b.countsFor(service)
 	first := counts.first.Sum(now)
 	if first == 0 {
 		return 0
@@ -113,8 +112,8 @@
 	return float64(counts.retries.Sum(now)) / float64(first)
 }
 
-// of returns the counts of a service. The mutex must be held.
-func (b *Budget) of(service string) *counts {
+// countsFor returns the counts countsFor a service. The mutex must be held.
+func (b *Budget) countsFor(service string) *counts {
 	known, ok := b.services[service]
 	if !ok {
 		known = &counts{first: slidingcount.New(b.params.Window, b.origin), retries: slidingcount.New(b.params.Window, b.origin)}
--- a/internal/retrybudget/retrybudget_test.go
+++ b/internal/retrybudget/retrybudget_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// clock is a clock that tests move.
+// clock is a clock that tests advance.
 type clock struct{ now time.Time }
 
 func newBudget() (*Budget, *clock) {
@@ -13,7 +13,7 @@
 	return New(Params{Share: 0.2, Window: 10 * time.Second, Reserve: 2, RefillTime: 20 * time.Second, Now: func() time.Time { return c.now }}), c
 }
 
-// take asks for retries, and returns how many were granted.
+// take requests retries and returns how many were granted.
 func take(budget *Budget, asked int) int {
 	granted := 0
 	for range asked {
@@ -28,10 +28,10 @@
 	for _, c := range []struct{ first, asked, granted int }{{0, 10, 2}, {5, 10, 3}, {20, 10, 6}, {100, 1000, 22}, {100, 7, 7}} {
 		budget, _ := newBudget()
 		for range c.first {
-			budget.First("s")
+			budget.RecordFirst("s")
 		}
 		if granted := take(budget, c.asked); granted != c.granted {
-			t.Errorf("%d first sends: %d of %d retries granted, not %d", c.first, granted, c.asked, c.granted)
+			t.Errorf("%d first sends: %d of %d retries granted, want %d", c.first, granted, c.asked, c.granted)
 		}
 	}
 }
@@ -39,47 +39,47 @@
 func TestWindowSlides(t *testing.T) {
 	budget, clock := newBudget()
 	for range 50 {
-		budget.First("s")
+		budget.RecordFirst("s")
 	}
 	if granted := take(budget, 100); granted != 12 {
-		t.Fatalf("%d granted at first", granted)
+		t.Fatalf("%d retries granted initially, want 12", granted)
 	}
 	clock.now = clock.now.Add(5 * time.Second)
 	if granted := take(budget, 100); granted != 0 {
-		t.Errorf("%d granted while the window is used up", granted)
+		t.Errorf("%d retries granted after the window's share was used, want 0", granted)
 	}
 	clock.now = clock.now.Add(7 * time.Second)
 	if granted := take(budget, 100); granted != 0 {
-		t.Errorf("%d granted in a window without first sends, the reserve used up", granted)
+		t.Errorf("%d retries granted without first sends and reserve, want 0", granted)
 	}
 	clock.now = clock.now.Add(8 * time.Second)
 	if granted := take(budget, 100); granted != 1 {
-		t.Errorf("%d granted once the reserve has got one back", granted)
+		t.Errorf("%d retries granted after one refill, want 1", granted)
 	}
 	clock.now = clock.now.Add(time.Hour)
 	if granted := take(budget, 100); granted != 2 {
-		t.Errorf("%d granted of the whole reserve", granted)
+		t.Errorf("%d retries granted from the full reserve, want 2", granted)
 	}
 }
 
 func TestReturnedRetryIsGrantedAgain(t *testing.T) {
 	budget, _ := newBudget()
 	if granted := take(budget, 2); granted != 2 {
-		t.Fatalf("%d granted", granted)
+		t.Fatalf("%d retries granted, want 2", granted)
 	}
 	budget.Return("s")
 	if granted := take(budget, 2); granted != 1 {
-		t.Errorf("%d granted after one was returned", granted)
+		t.Errorf("%d retries granted after one was returned, want 1", granted)
 	}
 	if granted := budget.Take("other"); !granted {
-		t.Error("a service pays for another")
+		t.Error("a retry of one service reduced the budget of another")
 	}
 }
 
 func BenchmarkTake(b *testing.B) {
 	budget := New(Params{Share: 0.2, Window: 10 * time.Second, Reserve: 2, RefillTime: 20 * time.Second, Now: time.Now})
 	for b.Loop() {
-		budget.First("s")
+		budget.RecordFirst("s")
 		budget.Take("s")
 	}
 }
--- a/internal/routing/admission.go
+++ b/internal/routing/admission.go
@@ -6,7 +6,7 @@
 	"github.com/covelink/covelink/internal/tenants"
 )
 
-// Refusal is why a caller is not served, as logs tell it; empty if the caller is.
+// Refusal is why a caller is not admitted, as used in logs; empty if it is admitted.
 type Refusal string
 
 // The refusals.
@@ -16,11 +16,10 @@
 	RefusedUnknown Refusal = "unknown key"
 )
 
-// noTenant is the name that stands for callers without a known key.
+// noTenant is the tenant name of callers without a known key.
 const noTenant = ""
 
-// Admit tells on behalf of which tenant, by its name, a caller with a key is served; empty for none. What is open serves everybody, also
-// callers whose key is not known.
+// Admit returns the name of the tenant that holds the key; empty for none. Open routes also admit callers without a known key.
 func (t *Table) Admit(open bool, key string) (tenant string, refusal Refusal) {
 	if t.Tenants == nil {
 		return noTenant, Admitted
@@ -37,8 +36,8 @@
 	return noTenant, RefusedUnknown
 }
 
-// JobsOpen reports whether calls about batch jobs, which name no route, are open at a host: if a batch route of it is. Whether a job is the
-// caller's is for whoever holds the job to say.
+// JobsOpen reports whether a host has an open batch route, so that calls about batch jobs, which name no route, need no key. Whether the caller
+// owns a job is checked by the process that holds it.
 func (t *Table) JobsOpen(host string) bool {
 	for _, route := range t.routes[strings.ToLower(host)] {
 		if route.Kind == KindBatch && route.Open {
@@ -48,13 +47,13 @@
 	return false
 }
 
-// Rank is the place of requests in every order: the tenant's priority goes before the route's.
+// Rank orders requests by the tenant's priority, then by the route's; the lowest is first.
 type Rank struct {
 	Tenant int
 	Route  int
 }
 
-// Rank returns the rank of a tenant's requests by a route.
+// Rank returns the rank of a tenant's requests on a route.
 func (t *Table) Rank(route *Route, tenant string) Rank {
 	return Rank{Tenant: t.directory().Priority(tenant), Route: route.Priority}
 }
@@ -66,7 +65,7 @@
 	return t.Tenants
 }
 
-// Compare returns a negative number if r goes first, a positive one if other does, and 0 if neither does.
+// Compare returns a negative number if r precedes other, a positive one if other precedes r, and 0 if they are equal.
 func (r Rank) Compare(other Rank) int {
 	if r.Tenant != other.Tenant {
 		return r.Tenant - other.Tenant
--- a/internal/routing/admission_test.go
+++ b/internal/routing/admission_test.go
@@ -17,7 +17,7 @@
 		{Tenant: tenants.Tenant{Name: "alpha", Priority: 3}, Keys: []string{"a"}},
 		{Tenant: tenants.Tenant{Name: "beta"}, Keys: []string{"b"}},
 	})
-	Convey("A caller is admitted by key, and by an open route without one", t, func() {
+	Convey("A caller is admitted by its key, or without one by an open route", t, func() {
 		for _, c := range []struct {
 			route   *Route
 			key     string
@@ -47,12 +47,12 @@
 		_, refusal = table.Admit(table.JobsOpen("B.example"), "")
 		So(refusal, ShouldEqual, Admitted)
 	})
-	Convey("Without tenants nobody needs a key", t, func() {
+	Convey("Without tenants no key is needed", t, func() {
 		tenant, refusal := NewTable(1, nil, nil, Limits{}).Admit(closed.Open, "anything")
 		So(refusal, ShouldEqual, Admitted)
 		So(tenant, ShouldBeEmpty)
 	})
-	Convey("The tenant's priority goes before the route's", t, func() {
+	Convey("The tenant's priority precedes the route's", t, func() {
 		urgentTenant := table.Rank(&Route{Priority: 9}, "beta")
 		urgentRoute := table.Rank(&Route{Priority: 0}, "alpha")
 		So(urgentTenant.Compare(urgentRoute), ShouldBeLessThan, 0)
--- a/internal/routing/table_test.go
+++ b/internal/routing/table_test.go
@@ -12,15 +12,15 @@
 		{Name: "long", Host: "a.example", Prefix: "/x/y/"},
 		{Name: "other", Host: "b.example", Prefix: "/x/"},
 	}, nil, Limits{})
-	Convey("The host's longest prefix that begins the path wins", t, func() {
+	Convey("The longest matching prefix of the host wins", t, func() {
 		So(table.Match("a.example", "/x/y/1").Name, ShouldEqual, "long")
 		So(table.Match("A.example", "/x/z").Name, ShouldEqual, "short")
 		So(table.Match("b.example", "/x/y/1").Name, ShouldEqual, "other")
 	})
-	Convey("A table that is not known yet has no routes", t, func() {
+	Convey("A nil table has no routes", t, func() {
 		So((*Table)(nil).Match("a.example", "/x/1"), ShouldBeNil)
 	})
-	Convey("Nothing else matches", t, func() {
+	Convey("Other paths and hosts do not match", t, func() {
 		So(table.Match("a.example", "/x"), ShouldBeNil)
 		So(table.Match("c.example", "/x/1"), ShouldBeNil)
 	})
@@ -28,7 +28,7 @@
 
 func TestPick(t *testing.T) {
 	route := Route{Targets: []Target{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}, {Service: "c"}}}
-	Convey("Requests are divided by the weights, and a target without weight gets none", t, func() {
+	Convey("Requests are distributed by weight, and a target without weight gets none", t, func() {
 		counts := make(map[string]int)
 		for i := range 1000 {
 			counts[route.Pick(float64(i)/1000)]++
--- a/internal/slidingcount/slidingcount_test.go
+++ b/internal/slidingcount/slidingcount_test.go
@@ -15,8 +15,8 @@
 	}{
 		{"nothing", nil, time.Second, 0},
 		{"within the window", []time.Duration{0, time.Second, 9 * time.Second}, 9 * time.Second, 3},
-		{"the oldest leave", []time.Duration{0, 5 * time.Second, 9 * time.Second}, 11 * time.Second, 2},
-		{"all leave", []time.Duration{0, 5 * time.Second}, time.Minute, 0},
+		{"the oldest event expires", []time.Duration{0, 5 * time.Second, 9 * time.Second}, 11 * time.Second, 2},
+		{"all events expire", []time.Duration{0, 5 * time.Second}, time.Minute, 0},
 		{"one after a long pause", []time.Duration{0, time.Minute}, time.Minute, 1},
 	} {
 		counter := New(10*time.Second, origin)
@@ -24,7 +24,7 @@
 			counter.Add(origin.Add(at), 1)
 		}
 		if sum := counter.Sum(origin.Add(c.asked)); sum != c.sum {
-			t.Errorf("%s: %d, not %d", c.name, sum, c.sum)
+			t.Errorf("%s: sum %d, want %d", c.name, sum, c.sum)
 		}
 	}
 }
