--- a/internal/forward/quota_test.go
+++ b/internal/forward/quota_test.go
@@ -76,7 +76,7 @@
 		return nil, ErrNotSent
 	}
 	late := &coldQuota{cold: all, grants: 1}
-	play("An expired grant says nothing about the engine: the load actions not become LoadDown", late, map[string]action{"a": lapsed},
+	play("An expired grant says nothing about the engine: the load does not become LoadDown", late, map[string]action{"a": lapsed},
 		func(result Result, s *scriptedTransport) {
 			So(result.Outcome, ShouldEqual, NotRun)
 			So(result.Reason, ShouldNotEqual, ReasonUnreachable)
