--- a/internal/itemwork/calls.go
+++ b/internal/itemwork/calls.go
@@ -7,80 +7,80 @@
 	"github.com/covelink/covelink/internal/rpc"
 )
 
-// pollWait is how long a poll waits for orders.
+// pollWait is how long the dispatcher holds a poll that has no orders.
 const pollWait = time.Second
 
-// WorkerID names a worker.
+// WorkerID identifies one start of a worker process.
 type WorkerID struct {
-	// Name is the node's, Zone its zone, and Instance the name of this start of the process.
+	// Name is the node's name, Zone its zone, and Instance is unique to this start of the process.
 	Name, Zone, Instance string
-	// Leaving is true if the worker takes no more assignments.
+	// Leaving is true if the worker accepts no new assignments.
 	Leaving bool
 }
 
-// PollRequest asks for orders.
+// PollRequest asks the dispatcher for orders.
 type PollRequest struct {
 	Worker WorkerID
-	// Term is the highest that the worker knows, and Taken the number of the last order of it that it has carried out.
+	// Term is the highest term that the worker has seen, and Taken the number of the last order of that term that it has carried out.
 	Term  int64
 	Taken uint64
 }
 
 // PollReply answers a PollRequest.
 type PollReply struct {
-	// Leading is false if the process does not coordinate; the rest is empty then.
+	// Leading is false if the process is not the coordinator; the other fields are empty then.
 	Leading bool
 	Term    int64
-	// Meeting numbers the times at which the desk has met workers. Another one than before tells the worker that the desk had lost it, and with it
-	// what the worker has told and the orders that it had not carried out.
+	// Meeting numbers the worker's registration with the dispatcher. A changed number tells the worker that the dispatcher had dropped it, along
+	// with its reports and unconfirmed orders.
 	Meeting uint64
-	// Held is how long the poll waited before it was answered.
+	// Held is how long the dispatcher held the poll before answering.
 	Held time.Duration
-	// Orders are those that the worker is not known to have carried out.
+	// Orders are the orders that the worker has not confirmed.
 	Orders []Order
 }
 
-// Order tells a worker to begin a run, to end one, or to let one go on without a reward call.
+// Order tells a worker to start a run, to cancel one, or to let one finish without its reward call.
 type Order struct {
 	// Number is higher than those of the worker's earlier orders of the term.
 	Number uint64
-	// Start is the run to begin, or nil.
+	// Start is the run to start; nil for other orders.
 	Start *Assignment
-	// LeaveWithin is the time, from the answer to the poll, within which the run must be sent. It is negative if that time is over; zero sets no
-	// bound.
+	// LeaveWithin is the time, counted from the answer to the poll, within which the run must be sent to its engine. Zero sets no bound; a negative
+	// value means that the deadline has passed.
 	LeaveWithin time.Duration
-	// Cancel is the run to end, if Start is nil.
+	// Cancel is the run to cancel if Start is nil.
 	Cancel RunID
-	// Release is the run whose stream goes on and that makes no reward call, if Start is nil.
+	// Release is the run that continues its stream but makes no reward call, if Start is nil.
 	Release RunID
 }
 
-// ReportRequest tells what is new of a worker's runs.
+// ReportRequest carries a worker's run updates since its last accepted report.
 type ReportRequest struct {
 	Worker WorkerID
-	// Term is the one whose coordinating process is taken to hold what was reported before.
+	// Term is the term that the earlier reports were accepted in.
 	Term    int64
 	Reports []Report
-	// Meeting is that of the last reply of the term, by which the receiver's knowledge of earlier reports is judged.
+	// Meeting is that of the last reply of the term. It tells whether the dispatcher still holds the earlier reports.
 	Meeting uint64
 }
 
-// ReportReply answers a ReportRequest. The reports were taken in if it leads and its term is the request's.
+// ReportReply answers a ReportRequest. The reports were accepted if Leading is true and Term equals the request's.
 type ReportReply struct {
 	Leading bool
 	Term    int64
 	// Meeting is as in PollReply.
 	Meeting uint64
-	// Unwanted are runs that the worker need not go on with or keep.
+	// Unwanted are runs that the worker should cancel and drop.
 	Unwanted []RunID
-	// Released are runs whose texts are of use and that must make no reward call. The answer tells it, as it also permits such calls: an order of a
-	// poll may come later.
+	// Released are runs whose text is still wanted but that must make no reward call. It is part of this reply because the reply also permits
+	// reward calls, and the corresponding order may arrive later.
 	Released []RunID
-	// Interval is the least time between two reports.
+	// Interval is the minimum time between two reports.
 	Interval time.Duration
 }
 
-// Register makes a server answer for a desk.
+// Register registers the handlers of a dispatcher with a server.
 func Register(server *rpc.Server, desk *Desk) {
 	rpc.Handle(server, func(ctx context.Context, _ rpc.Peer, request PollRequest) (PollReply, error) {
 		return desk.Poll(ctx, request), nil
@@ -90,12 +90,12 @@
 	})
 }
 
-// Poll asks the desk of the process at an address for orders.
+// Poll requests orders from the dispatcher at an address.
 func Poll(ctx context.Context, calls *rpc.Client, address string, request PollRequest) (PollReply, error) {
 	return rpc.Call[PollRequest, PollReply](ctx, calls, address, request)
 }
 
-// SendReports reports to the desk of the process at an address.
+// SendReports sends reports to the dispatcher at an address.
 func SendReports(ctx context.Context, calls *rpc.Client, address string, request ReportRequest) (ReportReply, error) {
 	return rpc.Call[ReportRequest, ReportReply](ctx, calls, address, request)
 }
--- a/internal/itemwork/desk_residency_test.go
+++ b/internal/itemwork/dispatcher_residency_test.go
@@ -14,7 +14,7 @@
 	"github.com/covelink/covelink/internal/placement"
 )
 
-func TestDeskHandsBoundWorkToAllowedRegions(t *testing.T) {
+func TestDispatcherAssignsBoundRunsToAllowedRegions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		desk := NewDesk(log.NewNopLogger())
@@ -40,7 +40,7 @@
 			return worker
 		}
 		south := placement.Residency{Route: []string{"south"}}
-		Convey("What is bound goes to a worker in an allowed region only, near the engine where there is one", t, func() {
+		Convey("A bound assignment goes only to a worker in an allowed region, preferably in the engine's zone", t, func() {
 			So(assign("north1", placement.Residency{}), ShouldEqual, "w-north1/first")
 			So(assign("north1", south), ShouldEqual, "w-south1/first")
 			So(assign("north1", placement.Residency{Tenant: []string{"north"}}), ShouldEqual, "w-north1/first")
@@ -53,7 +53,7 @@
 			So(desk.Reaches(south), ShouldBeFalse)
 			So(desk.Reaches(placement.Residency{}), ShouldBeTrue)
 		})
-		Convey("A desk that knows no regions hands nothing on that is bound", t, func() {
+		Convey("A dispatcher without a region lookup assigns nothing that is bound", t, func() {
 			desk.Region = nil
 			So(assign("north1", placement.Residency{Route: []string{"north"}}), ShouldBeEmpty)
 			So(desk.Reaches(placement.Residency{Route: []string{"north"}}), ShouldBeFalse)
--- a/internal/itemwork/desk_test.go
+++ b/internal/itemwork/dispatcher_test.go
@@ -14,7 +14,7 @@
 	"github.com/covelink/covelink/internal/placement"
 )
 
-// lostWorkers is a Handler that notes which workers were lost.
+// lostWorkers is a Handler that records lost workers.
 type lostWorkers struct {
 	mu    sync.Mutex
 	names []string
@@ -28,7 +28,7 @@
 	l.names = append(l.names, worker)
 }
 
-// taken returns the workers that were lost since the last call.
+// taken returns the workers lost since the last call.
 func (l *lostWorkers) taken() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -37,7 +37,7 @@
 	return names
 }
 
-func TestDesk(t *testing.T) {
+func TestDispatcher(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		desk := NewDesk(log.NewNopLogger())
@@ -55,7 +55,7 @@
 			desk.Poll(t.Context(), PollRequest{Worker: WorkerID{Name: "w-" + zone, Zone: zone, Instance: instance}, Term: 1})
 		}
 		time.Sleep(time.Millisecond)
-		Convey("An engine's worker is one of its zone, and the same one each time", t, func() {
+		Convey("An engine is always assigned the same worker, in its own zone", t, func() {
 			meet("z1", "first")
 			meet("z2", "first")
 			for range 3 {
@@ -64,8 +64,8 @@
 				So(worker, ShouldEqual, "w-z2/first")
 			}
 		})
-		Convey("A worker that is not heard of is lost, but not while this process itself stood still", t, func() {
-			desk.excuse(3 * time.Second)
+		Convey("A worker that does not call is lost, but not while this process itself was stalled", t, func() {
+			desk.extendDeadlines(3 * time.Second)
 			time.Sleep(2 * time.Second)
 			So(lost.taken(), ShouldBeEmpty)
 			time.Sleep(3 * time.Second)
@@ -73,7 +73,7 @@
 			_, ok := desk.Assign(placement.Residency{}, &fleet.Engine{ID: "e", Zone: "z2"}, &Assignment{})
 			So(ok, ShouldBeFalse)
 		})
-		Convey("A worker that comes back as another process has lost the runs of the one before", t, func() {
+		Convey("A restarted worker loses the runs of its previous process", t, func() {
 			meet("z1", "second")
 			meet("z1", "third")
 			So(lost.taken(), ShouldResemble, []string{"w-z1/second"})
--- a/internal/itemwork/executor.go
+++ b/internal/itemwork/executor.go
@@ -20,40 +20,41 @@
 )
 
 const (
-	// silenceLimit is how long an engine may make no event before the run is ended.
-	silenceLimit = 1600 * time.Millisecond
-	// judgeTimeout bounds one reward call.
-	judgeTimeout = 3 * time.Second
-	// minJudgeTime is the least time for a reward call to be worth making.
-	minJudgeTime = 250 * time.Millisecond
-	// judgePause is the pause after a reward call that was not completed.
-	judgePause = 100 * time.Millisecond
+	// eventTimeout is how long an engine may send no event before the run is aborted.
+	eventTimeout = 1600 * time.Millisecond
+	// rewardCallTimeout bounds one reward call.
+	rewardCallTimeout = 3 * time.Second
+	// minRewardCallTime is the minimum time that must be left to start a reward call.
+	minRewardCallTime = 250 * time.Millisecond
+	// rewardRetryPause is the minimum pause between two attempts of a reward call.
+	rewardRetryPause = 100 * time.Millisecond
 )
 
-// errTooLate reports a run that was not sent because its LeaveBy had passed: its grant for a cold engine was over.
-var errTooLate = errors.New("itemwork: the run came too late to be sent")
+// errSendDeadline reports a run that was not sent because LeaveBy, the end of its grant for a cold engine, had passed.
+var errSendDeadline = errors.New("itemwork: run not sent: send deadline passed")
 
-// Event is one event of a stream.
+// Event is one event of an engine's stream.
 type Event struct {
 	ID   int64
 	Data string
-	// Version is the weight version that made it.
+	// Version is the weight version that produced it.
 	Version int64
-	// Pause is the time since the event before it; zero for the first of a run.
+	// Pause is the time since the previous event; zero for the first event of a run.
 	Pause time.Duration
 }
 
-// Sink takes in what a run yields, one call at a time.
+// Sink receives the progress of a run. Its methods are called sequentially.
 type Sink interface {
-	// Begun tells the weight version with which the engine begins its answer.
+	// StreamStarted is called with the engine's weight version when its answer begins, and again if another version makes the run outdated.
 	Begun(version int64)
-	// Made takes in an event.
+	// EventReceived is called for each event of the stream.
 	Made(event Event)
-	// Restarted tells that the text so far cannot be used.
+	// Restarted is called if the text so far cannot be used.
 	Restarted()
-	// StreamEnded is called once, unless the text was whole from the start. It returns whether a whole text is to be judged.
-	StreamEnded(end End) (judge bool)
-	// Judged is called once the reward call of a whole text has ended; never for items without one.
+	// StreamEnded is called once when the stream ends; never if the assignment's text was already complete. It returns whether to make the reward
+	// call for a complete text.
+	StreamEnded(end End) (callReward bool)
+	// RewardCallEnded is called once the reward call of a complete text has ended; never for items without one.
 	Judged(judgement Judgement)
 }
 
@@ -62,16 +63,16 @@
 	State     *fleet.State
 	Transport forward.Transport
 	Forwarder *forward.Forwarder
-	// Guard is told which runs ended their engines, and which did not; nil for nobody.
+	// Guard records which runs broke their engines and which did not; it may be nil.
 	Guard *quarantine.Guard
-	// PermittedUntil returns until when, by boottime, a reward call may run; nil means without end.
+	// PermittedUntil returns the moment of boottime until which a reward call may run; nil sets no bound.
 	PermittedUntil func() time.Time
 }
 
-// errSilent reports an engine that made no event for too long.
-var errSilent = errors.New("itemwork: engine silent")
+// errEventTimeout reports an engine that sent no event within eventTimeout.
+var errEventTimeout = errors.New("itemwork: engine sent no event within the event timeout")
 
-// Run carries out an assignment. The end of ctx ends it.
+// Run carries out an assignment. It aborts when ctx ends.
 func (e *Executor) Run(ctx context.Context, assignment *Assignment, sink Sink) {
 	if !assignment.Text.Whole {
 		started := time.Now()
@@ -85,44 +86,46 @@
 		}
 		var withheld *withheldError
 		end.Withheld = errors.As(err, &withheld) && withheld.reason != placement.EngineLeaving
-		judge := sink.StreamEnded(end)
-		if verdict != VerdictWhole || !judge {
+		callReward := sink.StreamEnded(end)
+		if verdict != VerdictWhole || !callReward {
 			return
 		}
 	}
 	if assignment.Reward == nil {
 		return
 	}
-	sink.Judged(e.judge(ctx, assignment.Reward))
+	sink.Judged(e.callReward(ctx, assignment.Reward))
 }
 
-// stream runs the item at its engine.
+// stream sends the item to its engine and reads the answer.
 func (e *Executor) stream(ctx context.Context, assignment *Assignment, sink Sink) (Verdict, error) {
 	if reason := e.check(assignment); reason != placement.Permitted {
 		return VerdictRefused, &withheldError{reason: reason}
 	}
 	if leaveBy := assignment.LeaveBy; !leaveBy.IsZero() && !boottime.Now().Before(leaveBy) {
-		return VerdictRefused, errTooLate
+		return VerdictRefused, errSendDeadline
 	}
 	attemptCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	silence := time.AfterFunc(silenceLimit, cancel)
-	defer silence.Stop()
-	verdict, err := e.send(attemptCtx, assignment, silence, sink)
-	if err != nil && !silence.Stop() {
-		return VerdictBroken, errSilent
+	eventTimer := time.AfterFunc(eventTimeout, cancel)
+	defer eventTimer.Stop()
+	verdict, err := e.send(attemptCtx, assignment, eventTimer, sink)
+	if err != nil && !eventTimer.Stop() {
+		return VerdictBroken, errEventTimeout
 	}
-	e.tellGuard(ctx, assignment, verdict, err)
+	e.updateGuard(ctx, assignment, verdict, err)
 	return verdict, err
 }
 
 // withheldError reports a run that was not sent because the placement filter refused its engine.
 type withheldError struct{ reason placement.Reason }
 
-func (e *withheldError) Error() string { return "itemwork: not sent: " + string(e.reason) }
+func (e *withheldError) Error() string {
+	return "itemwork: run not sent, engine refused by the placement filter: " + string(e.reason)
+}
 
-// check returns why the engine may not run the item now, by this process's own view, or Permitted. Both the assignment's residency and that of
-// this process's tables must allow the engine, as either may be the older one.
+// check returns why the placement filter refuses the engine by this process's view, or Permitted. It checks the residencies of both the assignment
+// and the local route table, as either may be outdated.
 func (e *Executor) check(assignment *Assignment) placement.Reason {
 	view := e.State.View()
 	engine, listed := view.Engines.Get(assignment.Engine.ID)
@@ -139,8 +142,9 @@
 	return placement.NewFilter(view, placement.ResidencyOf(view.Routes, route, assignment.Tenant)).Check(engine)
 }
 
-// tellGuard tells whether the run ended well, or may have ended its engine. The end of ctx means that the run was ended from here.
-func (e *Executor) tellGuard(ctx context.Context, assignment *Assignment, verdict Verdict, err error) {
+// updateGuard records in the guard whether the run completed or may have crashed its engine. If ctx has ended, the run was aborted locally and a
+// broken stream is not counted.
+func (e *Executor) updateGuard(ctx context.Context, assignment *Assignment, verdict Verdict, err error) {
 	switch {
 	case verdict == VerdictWhole || verdict == VerdictImpossible:
 		e.Guard.Completed(assignment.Item, assignment.Fingerprint)
@@ -149,7 +153,7 @@
 	}
 }
 
-func (e *Executor) send(ctx context.Context, assignment *Assignment, silence *time.Timer, sink Sink) (Verdict, error) {
+func (e *Executor) send(ctx context.Context, assignment *Assignment, eventTimer *time.Timer, sink Sink) (Verdict, error) {
 	answer, err := e.Transport.Send(ctx, assignment.engine(), assignment.request(), assignment.options())
 	if err != nil {
 		return VerdictBroken, err
@@ -167,15 +171,15 @@
 	case answer.Status != http.StatusOK || !answer.Valid:
 		return VerdictBroken, nil
 	}
-	reading := reading{sink: sink, bounds: assignment.Bounds, version: assignment.Engine.Version, lastID: assignment.Text.LastID}
+	reader := streamReader{sink: sink, bounds: assignment.Bounds, version: assignment.Engine.Version, lastID: assignment.Text.LastID}
 	if segments := assignment.Text.Segments; len(segments) > 0 {
-		reading.begun, reading.firstVersion = true, segments[0].Version
+		reader.hasEvents, reader.firstVersion = true, segments[0].Version
 	}
 	if answer.WeightVersion > 0 {
-		reading.version = answer.WeightVersion
+		reader.version = answer.WeightVersion
 	}
-	sink.Begun(reading.version)
-	return reading.read(answer, silence)
+	sink.Begun(reader.version)
+	return reader.read(answer, eventTimer)
 }
 
 // engine returns the engine of the run.
@@ -183,12 +187,12 @@
 	return &fleet.Engine{ID: a.Engine.ID, Name: a.Engine.Name, Service: a.Engine.Service, Address: a.Engine.Address, Zone: a.Engine.Zone, Ready: true}
 }
 
-// Fingerprint identifies the item among all that its tenant sends.
+// Fingerprint identifies the item among the requests of its tenant.
 func (a *Assignment) Fingerprint() quarantine.Fingerprint {
 	return quarantine.FingerprintOf(a.Tenant, http.MethodPost, a.Host, a.Path, a.Body)
 }
 
-// request returns what an engine is sent for the item.
+// request returns the request that is sent to the engine.
 func (a *Assignment) request() *forward.Request {
 	header := make(http.Header, len(a.Header))
 	for name, value := range a.Header {
@@ -205,19 +209,19 @@
 	return options
 }
 
-// reading takes in the events of one answer.
-type reading struct {
+// streamReader reads and checks the events of one answer.
+type streamReader struct {
 	sink   Sink
 	bounds Bounds
-	// version is the engine's, and firstVersion that of the text's first event; zero if it has none.
+	// version is the engine's current weight version, and firstVersion that of the text's first event, zero if it has none.
 	version, firstVersion int64
-	// begun is true once the text has an event, of which lastID is the ID of the last.
-	begun  bool
-	lastID int64
+	// hasEvents is true once the text has an event; lastID is the ID of the last one.
+	hasEvents bool
+	lastID    int64
 }
 
-// read takes in events until the stream ends.
-func (r *reading) read(answer *forward.Answer, silence *time.Timer) (Verdict, error) {
+// read reads events until the stream ends.
+func (r *streamReader) read(answer *forward.Answer, eventTimer *time.Timer) (Verdict, error) {
 	events := eventstream.NewReader(answer.Body, answer.VersionField)
 	var last time.Time
 	for {
@@ -228,21 +232,22 @@
 		if err != nil {
 			return VerdictBroken, fmt.Errorf("%w: %w", forward.ErrBroken, err)
 		}
-		silence.Reset(silenceLimit)
+		eventTimer.Reset(eventTimeout)
 		now := time.Now()
 		var pause time.Duration
 		if !last.IsZero() {
 			pause = now.Sub(last)
 		}
 		last = now
-		if verdict, err := r.take(event, pause); verdict != VerdictNone {
+		if verdict, err := r.handleEvent(event, pause); verdict != VerdictNone {
 			return verdict, err
 		}
 	}
 }
 
-// take hands on an event. It returns how the run ends if the event cannot be used.
-func (r *reading) take(event eventstream.Event, pause time.Duration) (Verdict, error) {
+// handleEvent checks an event and passes it to the sink. It returns a verdict other than VerdictNone if the event cannot be used and the run must
+// end.
+func (r *streamReader) handleEvent(event eventstream.Event, pause time.Duration) (Verdict, error) {
 	if event.Extra != "" {
 		version, err := strconv.ParseInt(event.Extra, 10, 64)
 		if err != nil {
@@ -254,31 +259,31 @@
 		r.sink.Begun(r.version)
 		return VerdictOutdated, nil
 	}
-	if r.bounds.SingleVersion && r.begun && r.firstVersion != r.version {
+	if r.bounds.SingleVersion && r.hasEvents && r.firstVersion != r.version {
 		r.sink.Begun(r.version)
 		r.sink.Restarted()
 		return VerdictOutdated, nil
 	}
-	if !event.HasID || (r.begun && event.ID != r.lastID+1) {
+	if !event.HasID || (r.hasEvents && event.ID != r.lastID+1) {
 		return VerdictBroken, nil
 	}
-	if !r.begun {
-		r.begun, r.firstVersion = true, r.version
+	if !r.hasEvents {
+		r.hasEvents, r.firstVersion = true, r.version
 	}
 	r.lastID = event.ID
 	r.sink.Made(Event{ID: event.ID, Data: event.Data, Version: r.version, Pause: pause})
 	return VerdictNone, nil
 }
 
-// judge calls until the text has a score or the call has failed as often as its route allows. The judgement is aborted if
+// callReward makes the reward call, with retries, until it returns a score or has failed as often as its route allows. The judgement is aborted if
 // ctx ends first.
-func (e *Executor) judge(ctx context.Context, reward *batch.Reward) Judgement {
+func (e *Executor) callReward(ctx context.Context, reward *batch.Reward) Judgement {
 	failures, sent, arrived := 0, false, boottime.Now()
 	for ctx.Err() == nil {
 		route := e.State.View().Routes.Match(reward.Host, reward.Path)
-		deadline := e.judgeDeadline(boottime.Now())
-		if route == nil || boottime.Until(deadline) < minJudgeTime {
-			pause.For(ctx, judgePause)
+		deadline := e.rewardDeadline(boottime.Now())
+		if route == nil || boottime.Until(deadline) < minRewardCallTime {
+			pause.For(ctx, rewardRetryPause)
 			continue
 		}
 		request := &forward.Request{
@@ -288,9 +293,9 @@
 			Target: reward.Path,
 			Header: http.Header{},
 			Body:   reward.Body,
-			// The call waits for a full service in the forwarder's queue, and Arrived keeps its place there over rounds. minJudgeTime is left for the
-			// call itself.
-			Patience: max(boottime.Until(deadline)-minJudgeTime, time.Millisecond),
+			// Waits in the forwarder's queue while the service is at capacity; Arrived keeps the place in the queue over retries. Reserves
+			// minRewardCallTime for the call itself.
+			Patience: max(boottime.Until(deadline)-minRewardCallTime, time.Millisecond),
 			Arrived:  arrived,
 			Repeated: sent,
 		}
@@ -303,14 +308,14 @@
 		if failures >= route.MaxAttempts {
 			return Judgement{State: JudgementFailed, Failures: failures}
 		}
-		pause.For(ctx, max(judgePause, result.RetryAfter))
+		pause.For(ctx, max(rewardRetryPause, result.RetryAfter))
 	}
 	return Judgement{State: JudgementAborted, Failures: failures}
 }
 
-// judgeDeadline returns when a reward call that begins now must have ended.
-func (e *Executor) judgeDeadline(now time.Time) time.Time {
-	deadline := now.Add(judgeTimeout)
+// rewardDeadline returns the deadline of a reward call that starts at a moment.
+func (e *Executor) rewardDeadline(now time.Time) time.Time {
+	deadline := now.Add(rewardCallTimeout)
 	if e.PermittedUntil == nil {
 		return deadline
 	}
--- a/internal/itemwork/judge_test.go
+++ b/internal/itemwork/reward_test.go
@@ -19,8 +19,8 @@
 	"github.com/covelink/covelink/internal/routing"
 )
 
-// judges is a Transport to engines that all answer alike.
-type judges struct {
+// rewardEngines is a Transport to engines that all give the same answer.
+type rewardEngines struct {
 	mu     sync.Mutex
 	status int
 	notRun bool
@@ -28,28 +28,28 @@
 }
 
 // Send implements forward.Transport.
-func (j *judges) Send(context.Context, *fleet.Engine, *forward.Request, forward.SendOptions) (*forward.Answer, error) {
+func (j *rewardEngines) Send(context.Context, *fleet.Engine, *forward.Request, forward.SendOptions) (*forward.Answer, error) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.sends++
 	return &forward.Answer{Status: j.status, NotRun: j.notRun, Valid: true, Signature: "score", Header: http.Header{}, Body: io.NopCloser(strings.NewReader(""))}, nil
 }
 
-func (j *judges) answer(status int, notRun bool) {
+func (j *rewardEngines) answer(status int, notRun bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.status, j.notRun = status, notRun
 }
 
-func (j *judges) sent() int {
+func (j *rewardEngines) sent() int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.sends
 }
 
-// newJudge returns an executor to two engines that refuse, and a reward call.
-func newJudge() (*Executor, *judges, *batch.Reward) {
-	engines := &judges{status: http.StatusServiceUnavailable, notRun: true}
+// newRewardExecutor returns an executor with two engines that refuse requests, and a reward call.
+func newRewardExecutor() (*Executor, *rewardEngines, *batch.Reward) {
+	engines := &rewardEngines{status: http.StatusServiceUnavailable, notRun: true}
 	state := fleet.NewState()
 	route := routing.Route{Host: "h", Prefix: "/", Kind: routing.KindIdempotent, Targets: []routing.Target{{Service: "s", Weight: 1}}, MaxAttempts: 2, LatencyObjective: time.Second}
 	state.SetRoutes(routing.NewTable(1, []routing.Route{route}, nil, routing.Limits{}))
@@ -58,32 +58,32 @@
 	return &Executor{State: state, Transport: engines, Forwarder: forwarder}, engines, &batch.Reward{ID: "r", Host: "h", Path: "/judge"}
 }
 
-// A reward call that finds its service full waits in the forwarder's queue: it is not sent again and again.
+// While the service is at capacity, a reward call must wait in the forwarder's queue instead of being sent repeatedly.
 func TestRewardCallWaitsForAFullService(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		executor, engines, reward := newJudge()
+		executor, engines, reward := newRewardExecutor()
 		time.AfterFunc(4*time.Second, func() { engines.answer(http.StatusOK, false) })
 		began := time.Now()
-		judgement := executor.judge(t.Context(), reward)
+		judgement := executor.callReward(t.Context(), reward)
 		if judgement.State != JudgementReached || judgement.Failures != 0 {
-			t.Errorf("ended %+v", judgement)
+			t.Errorf("judgement %+v", judgement)
 		}
 		if took := time.Since(began); took > 10*time.Second {
-			t.Errorf("took %v of which the service was full for 4 s", took)
+			t.Errorf("call took %v; the service was at capacity for 4 s", took)
 		}
 		if engines.sent() > 6 {
-			t.Errorf("%d sends", engines.sent())
+			t.Errorf("%d sends, want at most 6", engines.sent())
 		}
 	})
 }
 
 func TestRewardCallOfAReleasedRunIsNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		executor, engines, reward := newJudge()
+		executor, engines, reward := newRewardExecutor()
 		ctx, cancel := context.WithCancel(t.Context())
 		var judging sync.WaitGroup
 		var judgement Judgement
-		judging.Go(func() { judgement = executor.judge(ctx, reward) })
+		judging.Go(func() { judgement = executor.callReward(ctx, reward) })
 		time.Sleep(time.Second)
 		synctest.Wait()
 		before := engines.sent()
@@ -92,27 +92,27 @@
 		judging.Wait()
 		time.Sleep(10 * time.Second)
 		if judgement.State != JudgementAborted || engines.sent() != before {
-			t.Errorf("ended %+v, %d sends after it was released", judgement, engines.sent()-before)
+			t.Errorf("judgement %+v, %d sends after the run was released", judgement, engines.sent()-before)
 		}
 	})
 }
 
-// The worker's permission ends while its reward call waits.
+// The worker's permission expires while its reward call waits in the queue.
 func TestRewardCallIsNotSentBeyondItsPermission(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		executor, engines, reward := newJudge()
+		executor, engines, reward := newRewardExecutor()
 		until := boottime.Now().Add(time.Second)
 		executor.PermittedUntil = func() time.Time { return until }
 		ctx, cancel := context.WithCancel(t.Context())
 		var judging sync.WaitGroup
-		judging.Go(func() { executor.judge(ctx, reward) })
+		judging.Go(func() { executor.callReward(ctx, reward) })
 		time.Sleep(time.Second)
 		synctest.Wait()
 		before := engines.sent()
 		engines.answer(http.StatusOK, false)
 		time.Sleep(10 * time.Second)
 		if engines.sent() != before {
-			t.Errorf("%d sends after the permission had ended", engines.sent()-before)
+			t.Errorf("%d sends after the permission expired", engines.sent()-before)
 		}
 		cancel()
 		judging.Wait()
@@ -121,11 +121,11 @@
 
 func TestRewardCallFailsAfterAsManyAnswersAsItsRouteAllows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		executor, engines, reward := newJudge()
+		executor, engines, reward := newRewardExecutor()
 		engines.answer(http.StatusInternalServerError, false)
-		judgement := executor.judge(t.Context(), reward)
+		judgement := executor.callReward(t.Context(), reward)
 		if judgement.State != JudgementFailed || judgement.Failures != 2 || engines.sent() != 2 {
-			t.Errorf("ended %+v after %d sends", judgement, engines.sent())
+			t.Errorf("judgement %+v after %d sends", judgement, engines.sent())
 		}
 	})
 }
--- a/internal/itemwork/share_test.go
+++ b/internal/itemwork/share_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestShare(t *testing.T) {
+func TestAutoscalerShare(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct {
 		open, processes, least, most int
@@ -17,7 +17,7 @@
 			share = 1
 		}
 		if workers := int(share*float64(c.processes) + 0.5); workers < c.least || workers > c.most {
-			t.Errorf("%d open items, %d processes: %d workers", c.open, c.processes, workers)
+			t.Errorf("%d open items, %d processes: got %d workers", c.open, c.processes, workers)
 		}
 	}
 	var need Need
@@ -27,8 +27,8 @@
 	}
 }
 
-// Workers must grow with the items and not with the gateways: the desk waits for each, and each reports the later the more there are.
-func TestChosen(t *testing.T) {
+// The number of workers must depend on the number of items, not of gateways: each worker lengthens the interval between reports.
+func TestInShare(t *testing.T) {
 	for _, processes := range []int{1000, 10000} {
 		chosen, smaller := 0, 0
 		for n := range processes {
@@ -41,7 +41,7 @@
 			}
 		}
 		if chosen < 70 || chosen > 130 || smaller > 0 {
-			t.Errorf("%d of %d processes are chosen for a share of 100, %d of a smaller share are not", chosen, processes, smaller)
+			t.Errorf("%d of %d processes selected for a share of 100; %d of a smaller share not included", chosen, processes, smaller)
 		}
 	}
 }
--- a/internal/itemwork/text.go
+++ b/internal/itemwork/text.go
@@ -5,16 +5,16 @@
 	"strings"
 )
 
-// Segment is a series of events that one weight version made.
+// Segment is a sequence of events that one weight version produced.
 type Segment struct {
 	Version int64
-	// Events holds the data of the events, in order; there is at least one.
+	// Events holds the data of the events in order; it is not empty.
 	Events []string
 }
 
-// Text is what was made of an item.
+// Text is the output of an item so far.
 type Text struct {
-	// Segments are the events in order. Neighbours differ in their version.
+	// Segments are in order. Adjacent ones differ in Version.
 	Segments []Segment
 	// LastID is the ID of the last event.
 	LastID int64
@@ -33,7 +33,7 @@
 	return count
 }
 
-// Add takes in one event.
+// Add appends one event.
 func (t *Text) Add(id int64, data string, version int64) {
 	t.append(version, []string{data})
 	t.LastID = id
@@ -47,7 +47,7 @@
 	t.Segments = append(t.Segments, Segment{Version: version, Events: slices.Clone(events)})
 }
 
-// Versions returns the weight versions that made the text, in rising order.
+// Versions returns the weight versions of the text in ascending order.
 func (t *Text) Versions() []int64 {
 	versions := make([]int64, 0, len(t.Segments))
 	for _, segment := range t.Segments {
@@ -57,7 +57,7 @@
 	return slices.Compact(versions)
 }
 
-// Fits reports whether all of the text may be used under the bounds.
+// Fits reports whether the bounds allow the whole text.
 func (t *Text) Fits(bounds Bounds) bool {
 	for _, segment := range t.Segments {
 		if segment.Version < bounds.MinVersion || (bounds.SingleVersion && segment.Version != t.Segments[0].Version) {
@@ -76,7 +76,7 @@
 	return strings.Join(events, "\n")
 }
 
-// Size is the number of bytes of the events.
+// Size returns the number of bytes of the events.
 func (t *Text) Size() int { return sizeOf(t.Segments) }
 
 func sizeOf(segments []Segment) int {
@@ -89,10 +89,10 @@
 	return size
 }
 
-// After returns the events behind the first ones, in segments of their own.
-func (t *Text) After(count int) []Segment { return skip(t.Segments, count) }
+// After returns a copy of the segments without the first count events.
+func (t *Text) After(count int) []Segment { return skipEvents(t.Segments, count) }
 
-// Clone returns a copy that later additions to either leave alone.
+// Clone returns a deep copy.
 func (t *Text) Clone() Text {
 	copied := Text{LastID: t.LastID, Whole: t.Whole, Segments: make([]Segment, len(t.Segments))}
 	for i, segment := range t.Segments {
@@ -101,8 +101,8 @@
 	return copied
 }
 
-// skip returns segments without their first events.
-func skip(segments []Segment, count int) []Segment {
+// skipEvents returns a copy of segments without the first count events.
+func skipEvents(segments []Segment, count int) []Segment {
 	var rest []Segment
 	for _, segment := range segments {
 		if count >= len(segment.Events) {
@@ -115,8 +115,7 @@
 	return rest
 }
 
-// Merge takes the events of a report into the text; those that it holds already are skipped. It reports false if events before
-// the report's are missing.
+// Merge appends the events of a report, skipping those that the text already holds. It returns false if events before the report's are missing.
 func (t *Text) Merge(report *Report) bool {
 	if report.Restarted {
 		*t = Text{}
@@ -126,7 +125,7 @@
 	if report.From > known {
 		return false
 	}
-	added := skip(report.Segments, known-report.From)
+	added := skipEvents(report.Segments, known-report.From)
 	for _, segment := range added {
 		t.append(segment.Version, segment.Events)
 	}
--- a/internal/itemwork/withheld_test.go
+++ b/internal/itemwork/withheld_test.go
@@ -18,7 +18,7 @@
 	"github.com/covelink/covelink/internal/tenants"
 )
 
-// countingEngine counts what is sent to it. It implements forward.Transport.
+// countingEngine counts the requests sent to it. It implements forward.Transport.
 type countingEngine struct {
 	endlessEngine
 	sent atomic.Int64
@@ -29,7 +29,7 @@
 	return e.endlessEngine.Send(ctx, engine, request, options)
 }
 
-// endSink keeps the end of a stream. It implements itemwork.Sink.
+// endSink records the end of a stream. It implements itemwork.Sink.
 type endSink struct{ end itemwork.End }
 
 func (*endSink) Begun(int64)               {}
@@ -41,8 +41,8 @@
 	return false
 }
 
-// workerState is what a worker knows: one engine, e, in zone-1 of region-1.
-func workerState(change func(state *fleet.State)) *fleet.State {
+// workerFleetState returns a worker's view: one engine, e, in zone-1 of region-1.
+func workerFleetState(change func(state *fleet.State)) *fleet.State {
 	state := fleet.NewState()
 	state.SetTopology(fleet.NewTopology(map[string]string{"zone-1": "region-1", "zone-2": "region-2"}))
 	state.SetEngineList([]*fleet.Engine{{ID: "e", Service: "pool", Zone: "zone-1", Ready: true}})
@@ -52,8 +52,8 @@
 	return state
 }
 
-// bind puts a table in force whose route and tenant allow regions.
-func bind(state *fleet.State, route, tenant []string) {
+// setAllowedRegions installs a route table whose route and tenant allow the given regions.
+func setAllowedRegions(state *fleet.State, route, tenant []string) {
 	table := routing.NewTable(1, []routing.Route{{Host: "h", Prefix: "/", AllowedRegions: route}}, nil, routing.Limits{})
 	table.Tenants = tenants.NewDirectory([]tenants.Entry{{Tenant: tenants.Tenant{Name: "t", AllowedRegions: tenant}}})
 	state.SetRoutes(table)
@@ -67,7 +67,7 @@
 	state.SetEvacuations(fleet.NewEvacuations(1, since))
 }
 
-func TestWithheld(t *testing.T) {
+func TestExecutorWithholdsRefusedRuns(t *testing.T) {
 	here, elsewhere := []string{"region-1"}, []string{"region-2"}
 	for _, c := range []struct {
 		name      string
@@ -76,8 +76,8 @@
 		unlisted  bool
 		reason    placement.Reason
 	}{
-		{name: "What may run is sent"},
-		{name: "An engine that the worker does not know yet is sent what its zone permits", unlisted: true},
+		{name: "A permitted run is sent"},
+		{name: "An engine that is not in the worker's view, in a permitted zone", unlisted: true},
 		{name: "Residency that permits the engine", residency: placement.Residency{Route: here, Tenant: here}},
 		{
 			name:   "An evacuated zone",
@@ -85,38 +85,38 @@
 			reason: placement.ZoneEvacuated,
 		},
 		{
-			name:     "An evacuated zone, the engine not known",
+			name:     "An evacuated zone, with an engine that is not in the worker's view",
 			change:   func(state *fleet.State) { evacuate(state, "zone-1") },
 			unlisted: true,
 			reason:   placement.ZoneEvacuated,
 		},
 		{name: "Another zone is evacuated", change: func(state *fleet.State) { evacuate(state, "zone-2") }},
 		{
-			name:   "Evacuations that are not known",
+			name:   "Unknown evacuations",
 			change: func(state *fleet.State) { state.FollowEvacuations() },
 			reason: placement.EvacuationsUnknown,
 		},
 		{name: "The assignment's residency: route", residency: placement.Residency{Route: elsewhere}, reason: placement.RegionNotAllowed},
 		{name: "The assignment's residency: tenant", residency: placement.Residency{Tenant: elsewhere}, reason: placement.RegionNotAllowed},
 		{
-			name:      "A topology that does not name the zone",
+			name:      "A topology without the zone",
 			change:    func(state *fleet.State) { state.SetTopology(fleet.Topology{}) },
 			residency: placement.Residency{Tenant: here},
 			reason:    placement.RegionNotAllowed,
 		},
 		{
 			name:   "The worker's own, newer table: route",
-			change: func(state *fleet.State) { bind(state, elsewhere, nil) },
+			change: func(state *fleet.State) { setAllowedRegions(state, elsewhere, nil) },
 			reason: placement.RegionNotAllowed,
 		},
 		{
 			name:   "The worker's own, newer table: tenant",
-			change: func(state *fleet.State) { bind(state, here, elsewhere) },
+			change: func(state *fleet.State) { setAllowedRegions(state, here, elsewhere) },
 			reason: placement.RegionNotAllowed,
 		},
-		{name: "The worker's own table, which permits the engine", change: func(state *fleet.State) { bind(state, here, here) }},
+		{name: "The worker's own table, which permits the engine", change: func(state *fleet.State) { setAllowedRegions(state, here, here) }},
 		{
-			name: "An engine that leaves",
+			name: "A leaving engine",
 			change: func(state *fleet.State) {
 				state.SetEngineList([]*fleet.Engine{{ID: "e", Service: "pool", Zone: "zone-1"}})
 			},
@@ -126,7 +126,7 @@
 		for _, resumed := range []bool{false, true} {
 			synctest.Test(t, func(t *testing.T) {
 				transport, sink := &countingEngine{}, &endSink{}
-				executor := &itemwork.Executor{State: workerState(c.change), Transport: transport}
+				executor := &itemwork.Executor{State: workerFleetState(c.change), Transport: transport}
 				assignment := &itemwork.Assignment{Item: "i", Host: "h", Path: "/", Tenant: "t", Residency: c.residency}
 				assignment.Engine = itemwork.Target{ID: "e", Service: "pool", Zone: "zone-1"}
 				if c.unlisted {
@@ -147,7 +147,7 @@
 					So(transport.sent.Load(), ShouldEqual, 0)
 					So(sink.end.Verdict, ShouldEqual, itemwork.VerdictRefused)
 					So(sink.end.Cause, ShouldContainSubstring, string(c.reason))
-					// A leaving engine counts as one that refused: no other item should try it.
+					// A leaving engine counts as one that refused: other items should not try it.
 					So(sink.end.Withheld, ShouldEqual, c.reason != placement.EngineLeaving)
 				})
 			})
@@ -160,13 +160,13 @@
 		state := fleet.NewState()
 		state.FollowEvacuations()
 		var leaving atomic.Bool
-		s := newScript()
+		s := newFakeCoordinator()
 		poll := func(ctx context.Context, address string, request itemwork.PollRequest) (itemwork.PollReply, error) {
 			leaving.Store(request.Worker.Leaving)
 			return s.poll(ctx, address, request)
 		}
 		defer runWorker(t, state, poll, s.report)()
-		Convey("A worker takes no assignments until it knows the evacuations", t, func() {
+		Convey("A worker accepts no assignments until it has received the evacuations", t, func() {
 			time.Sleep(time.Second)
 			So(leaving.Load(), ShouldBeTrue)
 			evacuate(state)
@@ -176,43 +176,43 @@
 	})
 }
 
-func TestRunIsToldThoughTheTermBeginsDuringAReport(t *testing.T) {
+func TestRunIsReportedToTermStartedDuringReport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &script{term: 1}
+		s := &fakeCoordinator{term: 1}
 		run := itemwork.RunID{Term: 1, Number: 1}
-		var holder atomic.Value
-		holder.Store("old")
-		var gate, changing atomic.Bool
-		release, heard := make(chan struct{}), make(chan struct{})
+		var coordinator atomic.Value
+		coordinator.Store("old")
+		var holdPoll, changing atomic.Bool
+		release, polled := make(chan struct{}), make(chan struct{})
 		worker := itemwork.NewWorker(itemwork.WorkerParams{
 			Name:     "w",
 			Executor: &itemwork.Executor{State: fleet.NewState(), Transport: endlessEngine{}},
-			// The holder changes, and a poll hears of its term, between a report's look for the holder and what it makes of that.
+			// The coordinator changes, and a poll returns the new term, between a report's lookup of the coordinator and its use.
 			Coordinator: func() string {
-				address := holder.Load().(string)
+				address := coordinator.Load().(string)
 				if changing.CompareAndSwap(true, false) {
-					holder.Store("new")
+					coordinator.Store("new")
 					s.set(func() { s.term, s.orders = 2, nil })
 					close(release)
-					<-heard
+					<-polled
 				}
 				return address
 			},
 			Poll: func(ctx context.Context, address string, request itemwork.PollRequest) (itemwork.PollReply, error) {
-				if gate.CompareAndSwap(true, false) {
+				if holdPoll.CompareAndSwap(true, false) {
 					<-release
 				}
 				if request.Term == 2 {
 					select {
-					case <-heard:
+					case <-polled:
 					default:
-						close(heard)
+						close(polled)
 					}
 				}
 				return s.poll(ctx, address, request)
 			},
 			Report:   s.report,
-			MayTell:  func(address string, _ int64, _ placement.Residency) bool { return address == holder.Load() },
+			MayTell:  func(address string, _ int64, _ placement.Residency) bool { return address == coordinator.Load() },
 			Draining: func() bool { return false },
 			Logger:   log.NewNopLogger(),
 		})
@@ -226,18 +226,18 @@
 			cancel()
 			<-done
 		}()
-		Convey("A run that has ended is told to a term that begins while a report is made", t, func() {
-			s.set(func() { s.orders = []itemwork.Order{begin(1, run)} })
+		Convey("An ended run is reported to a term that starts during a report call", t, func() {
+			s.set(func() { s.orders = []itemwork.Order{startOrder(1, run)} })
 			time.Sleep(time.Second)
 			s.set(func() { s.orders = []itemwork.Order{{Number: 2, Cancel: run}} })
 			time.Sleep(time.Second)
-			reports := s.told()
+			reports := s.takeReports()
 			So(reports[len(reports)-1].End.Verdict, ShouldEqual, itemwork.VerdictCanceled)
-			gate.Store(true)
+			holdPoll.Store(true)
 			time.Sleep(100 * time.Millisecond)
 			changing.Store(true)
 			time.Sleep(2 * time.Second)
-			reports = s.told()
+			reports = s.takeReports()
 			So(len(reports), ShouldEqual, 1)
 			So(reports[0].Run, ShouldResemble, run)
 			So(reports[0].From, ShouldEqual, 0)
--- a/internal/itemwork/worker_report.go
+++ b/internal/itemwork/worker_report.go
@@ -9,19 +9,19 @@
 	"github.com/covelink/covelink/internal/pause"
 )
 
-// reportUntil reports until ctx ends.
+// reportUntil reports runs until ctx ends.
 func (w *Worker) reportUntil(ctx context.Context) {
 	for ctx.Err() == nil {
 		timer := time.NewTimer(progressInterval)
 		select {
-		case <-w.ended:
+		case <-w.reportNow:
 		case <-timer.C:
 		case <-ctx.Done():
 		}
 		timer.Stop()
-		w.forget()
+		w.evictEnded()
 		if more, err := w.reportOnce(ctx); err != nil || more {
-			w.poke()
+			w.wakeReporter()
 			if err != nil {
 				pause.For(ctx, retryPause)
 			}
@@ -33,9 +33,9 @@
 	}
 }
 
-// flush reports what is left at the end.
+// flush sends the remaining reports at shutdown.
 func (w *Worker) flush() {
-	ctx, cancel := context.WithTimeout(context.Background(), flushTime)
+	ctx, cancel := context.WithTimeout(context.Background(), flushTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
 		more, err := w.reportOnce(ctx)
@@ -46,21 +46,21 @@
 	}
 }
 
-// errNotTaken reports a call that no coordinating process of the worker's term took in.
-var errNotTaken = errors.New("itemwork: reports not taken")
+// errReportsNotAccepted reports that no coordinator of the worker's term accepted the reports.
+var errReportsNotAccepted = errors.New("itemwork: reports not accepted by a coordinator of the term")
 
-// reportOnce reports what is new. It reports whether there is more.
+// reportOnce sends one batch of reports. It returns true if more is left to report.
 func (w *Worker) reportOnce(ctx context.Context) (more bool, err error) {
 	w.mu.Lock()
 	term := w.term
 	w.mu.Unlock()
 	address := w.Coordinator()
-	request, more := w.batch(address, term)
+	request, more := w.nextReports(address, term)
 	if len(request.Reports) == 0 {
 		return more, nil
 	}
 	if address == "" {
-		return true, errNotTaken
+		return true, errReportsNotAccepted
 	}
 	ctx, cancel := context.WithTimeout(ctx, callMargin)
 	defer cancel()
@@ -70,42 +70,42 @@
 		return true, err
 	}
 	if !reply.Leading || reply.Term < request.Term {
-		return true, errNotTaken
+		return true, errReportsNotAccepted
 	}
-	w.hear(started, reply.Term, reply.Meeting)
+	w.noteContact(started, reply.Term, reply.Meeting)
 	if !w.acknowledge(request, reply, started) {
 		return true, nil
 	}
 	return more, nil
 }
 
-// mayTell reports whether the process at an address may be told of a run.
-func (w *Worker) mayTell(address string, run *workerRun) bool {
+// mayReport reports whether the process at an address may receive reports of a run.
+func (w *Worker) mayReport(address string, run *workerRun) bool {
 	return w.MayTell == nil || w.MayTell(address, run.assignment.Run.Term, run.assignment.Residency)
 }
 
-// batch returns the reports of what is new for the process at an address, as much as fits one call, and whether there is more. term is the one that
-// was known before the address was: if a later one has begun since, the address may be that of the earlier holder, and what is withheld from
-// it would count as told to the later one.
-func (w *Worker) batch(address string, term int64) (request ReportRequest, more bool) {
+// nextReports returns the reports for the process at an address, limited to one call, and whether more is left. term must have been read before the
+// address: if a later term has started since, the address may be that of the former coordinator, and runs withheld from it would count as reported
+// to the new one.
+func (w *Worker) nextReports(address string, term int64) (request ReportRequest, more bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.term != term {
 		return ReportRequest{}, true
 	}
-	request = ReportRequest{Worker: w.identity(), Term: w.term, Meeting: w.meeting}
-	defer w.noteTold()
+	request = ReportRequest{Worker: w.identity(), Term: w.term, Meeting: w.registration}
+	defer w.updateReportsDue()
 	size := 0
-	for _, id := range w.order {
+	for _, id := range w.runOrder {
 		run := w.runs[id]
-		if run == nil || !run.news() {
+		if run == nil || !run.hasNews() {
 			continue
 		}
-		if !w.mayTell(address, run) {
-			// There is nothing that this process could want ended.
-			run.told = run.told || address != ""
-			if address != "" && run.over() {
-				// Counts as reported, so that it is kept for a later term for keepEnded and no longer.
+		if !w.mayReport(address, run) {
+			// A process that may not receive the run cannot want it canceled.
+			run.announced = run.announced || address != ""
+			if address != "" && run.finished() {
+				// Counts as reported so that it expires after endedRunTTL; a later term may still receive it until then.
 				run.endReported = time.Now()
 			}
 			continue
@@ -120,36 +120,37 @@
 	return request, false
 }
 
-// acknowledge notes that the reports of a call, which began at a moment, were taken in. It returns false if they belong to an earlier term or meeting:
-// all is told again then.
+// acknowledge records that the reports of a call that started at a moment were accepted. It returns false if the term or registration has changed
+// since, so that everything must be reported again.
 func (w *Worker) acknowledge(request ReportRequest, reply ReportReply, started time.Time) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if request.Term != w.term || request.Meeting != w.meeting {
+	if request.Term != w.term || request.Meeting != w.registration {
 		return false
 	}
 	w.interval = reply.Interval
 	for i := range request.Reports {
 		if run := w.runs[request.Reports[i].Run]; run != nil {
-			run.take(&request.Reports[i])
+			run.markReported(&request.Reports[i])
 		}
 	}
 	for _, id := range reply.Unwanted {
-		w.refuse(id)
+		w.drop(id)
 	}
-	// Before calls are permitted: the order that releases a run may come later than this answer, and a reward call of an ended job left in between.
+	// Must precede renewPermission: the order that releases a run may arrive after this reply, and a reward call of an ended job could be made in
+	// between.
 	for _, id := range reply.Released {
 		if run := w.runs[id]; run != nil {
 			run.release()
 		}
 	}
-	w.noteTold()
+	w.updateReportsDue()
 	w.renewPermission(started)
 	return true
 }
 
-// refuse ends a run that is not wanted. Its end is reported before it is forgotten. The mutex must be held.
-func (w *Worker) refuse(id RunID) {
+// drop cancels an unwanted run and removes it once its end has been reported. The mutex must be held.
+func (w *Worker) drop(id RunID) {
 	run := w.runs[id]
 	if run == nil {
 		return
@@ -160,26 +161,26 @@
 	}
 }
 
-// forget drops ended runs that were reported long ago, or that are too large together.
-func (w *Worker) forget() {
+// evictEnded removes ended runs that were reported more than endedRunTTL ago or that exceed maxEndedBytes.
+func (w *Worker) evictEnded() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	bytes := 0
-	for i := len(w.order) - 1; i >= 0; i-- {
-		run := w.runs[w.order[i]]
+	for i := len(w.runOrder) - 1; i >= 0; i-- {
+		run := w.runs[w.runOrder[i]]
 		if run == nil || run.endReported.IsZero() {
 			continue
 		}
 		bytes += run.text.Size()
-		if bytes > maxKeptBytes || time.Since(run.endReported) > keepEnded {
-			delete(w.runs, w.order[i])
+		if bytes > maxEndedBytes || time.Since(run.endReported) > endedRunTTL {
+			delete(w.runs, w.runOrder[i])
 		}
 	}
-	kept := w.order[:0]
-	for _, id := range w.order {
+	kept := w.runOrder[:0]
+	for _, id := range w.runOrder {
 		if _, ok := w.runs[id]; ok {
 			kept = append(kept, id)
 		}
 	}
-	w.order = kept
+	w.runOrder = kept
 }
--- a/internal/itemwork/worker_run.go
+++ b/internal/itemwork/worker_run.go
@@ -6,40 +6,40 @@
 	"github.com/go-kit/log/level"
 )
 
-// workerRun is a run that a worker carries out or has carried out. The worker's mutex guards it. It implements Sink.
+// workerRun is a run of a worker, running or ended. It is guarded by the worker's mutex. It implements Sink.
 type workerRun struct {
 	worker     *Worker
 	assignment *Assignment
 	cancel     func()
 	text       Text
 	restarted  bool
-	// released is true once the run must make no reward call: its job has ended.
+	// released is true once the run must make no reward call because its job has ended.
 	released bool
-	// version is the engine's weight version, as far as it is known.
+	// version is the engine's last known weight version.
 	version    int64
 	pauses     time.Duration
 	pauseCount int
 	end        End
 	judgement  Judgement
-	// reported is the number of events that the coordinating process has taken in.
+	// reported is the number of events that the coordinator has accepted.
 	reported int
-	// verdictReported is the verdict that it has taken in, and endReported when it took in the run's end.
+	// verdictReported is the last verdict that the coordinator has accepted, and endReported when it accepted the end of the run.
 	verdictReported Verdict
-	// told is true once the process that leads has been told of the run in this term and meeting.
-	told        bool
+	// announced is true once the coordinator has received the run in this term and registration.
+	announced   bool
 	endReported time.Time
 }
 
 var _ Sink = (*workerRun)(nil)
 
-// Begun implements Sink.
+// StreamStarted implements Sink.
 func (r *workerRun) Begun(version int64) {
 	r.worker.mu.Lock()
 	defer r.worker.mu.Unlock()
 	r.version = version
 }
 
-// Made implements Sink.
+// EventReceived implements Sink.
 func (r *workerRun) Made(event Event) {
 	r.worker.mu.Lock()
 	defer r.worker.mu.Unlock()
@@ -59,7 +59,7 @@
 }
 
 // StreamEnded implements Sink.
-func (r *workerRun) StreamEnded(end End) (judge bool) {
+func (r *workerRun) StreamEnded(end End) (callReward bool) {
 	r.worker.mu.Lock()
 	defer r.worker.mu.Unlock()
 	r.end = end
@@ -68,11 +68,11 @@
 		level.Debug(r.worker.Logger).Log("msg", "run ended", "request", r.assignment.Item, "job", r.assignment.Job, "run", r.assignment.Run,
 			"engine", r.assignment.Engine.ID, "verdict", end.Verdict, "text_events", r.text.Len(), "term", r.worker.term, "err", end.Cause)
 	}
-	r.worker.poke()
+	r.worker.wakeReporter()
 	return !r.released
 }
 
-// release lets the stream go on and makes no reward call after it; one that is under way is ended. The worker's mutex must be held.
+// release lets the stream continue without a reward call, and cancels a reward call in progress. The worker's mutex must be held.
 func (r *workerRun) release() {
 	r.released = true
 	if r.end.Verdict == VerdictWhole {
@@ -80,39 +80,39 @@
 	}
 }
 
-// Judged implements Sink.
+// RewardCallEnded implements Sink.
 func (r *workerRun) Judged(judgement Judgement) {
 	r.worker.mu.Lock()
 	defer r.worker.mu.Unlock()
 	r.judgement = judgement
-	r.worker.poke()
+	r.worker.wakeReporter()
 }
 
-// over reports whether nothing more comes of the run.
-func (r *workerRun) over() bool {
+// finished reports whether the run has ended, including its reward call.
+func (r *workerRun) finished() bool {
 	if r.end.Verdict != VerdictWhole {
 		return r.end.Verdict != VerdictNone
 	}
 	return r.assignment.Reward == nil || r.released || r.judgement.State != JudgementOpen
 }
 
-// mayCall reports whether the run makes or may make its reward call.
-func (r *workerRun) mayCall() bool { return r.text.Whole && !r.over() }
+// mayCallReward reports whether the run may make its reward call, or is making it.
+func (r *workerRun) mayCallReward() bool { return r.text.Whole && !r.finished() }
 
-// news reports whether there is something that the coordinating process has not taken in.
-func (r *workerRun) news() bool {
-	if r.over() {
+// hasNews reports whether the run has updates that the coordinator has not accepted.
+func (r *workerRun) hasNews() bool {
+	if r.finished() {
 		return r.endReported.IsZero()
 	}
 	return r.pauseCount > 0 || r.text.Len() > r.reported || r.end.Verdict != r.verdictReported
 }
 
-// forgetReports makes the run tell everything again.
-func (r *workerRun) forgetReports() {
-	r.reported, r.verdictReported, r.endReported, r.told = 0, VerdictNone, time.Time{}, false
+// resetReported makes the run report everything again.
+func (r *workerRun) resetReported() {
+	r.reported, r.verdictReported, r.endReported, r.announced = 0, VerdictNone, time.Time{}, false
 }
 
-// report tells what is new.
+// report returns the updates since the last accepted report.
 func (r *workerRun) report() Report {
 	return Report{
 		Run:        r.assignment.Run,
@@ -133,14 +133,14 @@
 	}
 }
 
-// take notes that a report was taken in.
-func (r *workerRun) take(report *Report) {
-	r.told = true
+// markReported records that a report was accepted.
+func (r *workerRun) markReported(report *Report) {
+	r.announced = true
 	r.reported = max(r.reported, report.From+countEvents(report.Segments))
 	r.pauses -= report.Pauses
 	r.pauseCount -= report.PauseCount
 	r.verdictReported = report.End.Verdict
-	if r.over() && report.End == r.end && report.Judgement == r.judgement {
+	if r.finished() && report.End == r.end && report.Judgement == r.judgement {
 		r.endReported = time.Now()
 	}
 }
--- a/internal/itemwork/worker_test.go
+++ b/internal/itemwork/worker_test.go
@@ -18,10 +18,9 @@
 	"github.com/covelink/covelink/internal/itemwork"
 )
 
-// eventPause is the time between two events of the test's engine.
 const eventPause = 100 * time.Millisecond
 
-// endlessEngine streams events until it is cut off. It implements forward.Transport.
+// endlessEngine streams events until it is canceled. It implements forward.Transport.
 type endlessEngine struct{}
 
 func (endlessEngine) Send(ctx context.Context, _ *fleet.Engine, _ *forward.Request, options forward.SendOptions) (*forward.Answer, error) {
@@ -42,19 +41,21 @@
 	return &forward.Answer{Status: http.StatusOK, Valid: true, Signature: "signed", WeightVersion: 1, Body: reader}, nil
 }
 
-// script is a coordinating process whose answers a test sets.
-type script struct {
+// fakeCoordinator is a coordinator with scripted answers.
+type fakeCoordinator struct {
 	mu     sync.Mutex
 	term   int64
 	orders []itemwork.Order
-	// unwanted are runs that are refused.
+	// unwanted are the runs that it answers as unwanted.
 	unwanted map[itemwork.RunID]bool
 	reports  []itemwork.Report
 }
 
-func newScript() *script { return &script{term: 1, unwanted: make(map[itemwork.RunID]bool)} }
+func newFakeCoordinator() *fakeCoordinator {
+	return &fakeCoordinator{term: 1, unwanted: make(map[itemwork.RunID]bool)}
+}
 
-func (s *script) poll(ctx context.Context, _ string, _ itemwork.PollRequest) (itemwork.PollReply, error) {
+func (s *fakeCoordinator) poll(ctx context.Context, _ string, _ itemwork.PollRequest) (itemwork.PollReply, error) {
 	select {
 	case <-time.After(50 * time.Millisecond):
 	case <-ctx.Done():
@@ -65,7 +66,7 @@
 	return itemwork.PollReply{Leading: true, Term: s.term, Orders: s.orders}, nil
 }
 
-func (s *script) report(_ context.Context, _ string, request itemwork.ReportRequest) (itemwork.ReportReply, error) {
+func (s *fakeCoordinator) report(_ context.Context, _ string, request itemwork.ReportRequest) (itemwork.ReportReply, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	reply := itemwork.ReportReply{Leading: true, Term: s.term}
@@ -81,15 +82,15 @@
 	return reply, nil
 }
 
-// set changes what the coordinating process answers.
-func (s *script) set(change func()) {
+// set changes the scripted answers.
+func (s *fakeCoordinator) set(change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change()
 }
 
-// told returns what was reported since the last call.
-func (s *script) told() []itemwork.Report {
+// takeReports returns the reports since the last call.
+func (s *fakeCoordinator) takeReports() []itemwork.Report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	reports := s.reports
@@ -97,20 +98,20 @@
 	return reports
 }
 
-func begin(number uint64, run itemwork.RunID) itemwork.Order {
+func startOrder(number uint64, run itemwork.RunID) itemwork.Order {
 	return itemwork.Order{Number: number, Start: &itemwork.Assignment{Run: run, Job: "j", Item: run.String(), Engine: itemwork.Target{ID: "a"}}}
 }
 
-func playScript(t *testing.T, name string, scene func(s *script)) {
+func runScenario(t *testing.T, name string, run func(s *fakeCoordinator)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		s := newScript()
+		s := newFakeCoordinator()
 		defer runWorker(t, fleet.NewState(), s.poll, s.report)()
-		Convey(name, t, func() { scene(s) })
+		Convey(name, t, func() { run(s) })
 	})
 }
 
-// runWorker runs a worker of a state, whose calls poll and report answer, and returns what ends it.
+// runWorker starts a worker whose calls poll and report answer, and returns a function that stops it.
 func runWorker(t *testing.T, state *fleet.State, poll func(context.Context, string, itemwork.PollRequest) (itemwork.PollReply, error),
 	report func(context.Context, string, itemwork.ReportRequest) (itemwork.ReportReply, error)) (end func()) {
 	worker := itemwork.NewWorker(itemwork.WorkerParams{
@@ -136,11 +137,11 @@
 
 func TestWorker(t *testing.T) {
 	first := itemwork.RunID{Term: 1, Number: 1}
-	playScript(t, "An order that is told several times takes effect once", func(s *script) {
-		s.set(func() { s.orders = []itemwork.Order{begin(1, first)} })
+	runScenario(t, "An order that is delivered several times takes effect once", func(s *fakeCoordinator) {
+		s.set(func() { s.orders = []itemwork.Order{startOrder(1, first)} })
 		time.Sleep(time.Second)
 		events := 0
-		for _, report := range s.told() {
+		for _, report := range s.takeReports() {
 			So(report.Run, ShouldResemble, first)
 			So(report.From, ShouldEqual, events)
 			for _, segment := range report.Segments {
@@ -149,38 +150,38 @@
 		}
 		So(events, ShouldBeBetween, 5, 10)
 	})
-	playScript(t, "A run that is not wanted reports its end, and nothing more", func(s *script) {
+	runScenario(t, "An unwanted run reports its end and nothing more", func(s *fakeCoordinator) {
 		s.set(func() {
-			s.orders = []itemwork.Order{begin(1, first)}
+			s.orders = []itemwork.Order{startOrder(1, first)}
 			s.unwanted[first] = true
 		})
 		time.Sleep(2 * time.Second)
-		reports := s.told()
+		reports := s.takeReports()
 		So(reports[len(reports)-1].End.Verdict, ShouldEqual, itemwork.VerdictCanceled)
 		time.Sleep(time.Second)
-		So(s.told(), ShouldBeEmpty)
+		So(s.takeReports(), ShouldBeEmpty)
 	})
-	playScript(t, "A later term is told all that a run has made, and orders of an earlier one are void", func(s *script) {
-		s.set(func() { s.orders = []itemwork.Order{begin(1, first)} })
+	runScenario(t, "A later term receives the full output of a run, and orders of an earlier term are ignored", func(s *fakeCoordinator) {
+		s.set(func() { s.orders = []itemwork.Order{startOrder(1, first)} })
 		time.Sleep(time.Second)
-		s.told()
+		s.takeReports()
 		s.set(func() { s.term, s.orders = 2, nil })
 		time.Sleep(time.Second)
-		report := s.told()[0]
+		report := s.takeReports()[0]
 		So(report.From, ShouldEqual, 0)
 		So(report.Segments[0].Events[0], ShouldEqual, "e1")
-		s.set(func() { s.term, s.orders = 1, []itemwork.Order{begin(9, itemwork.RunID{Term: 1, Number: 9})} })
+		s.set(func() { s.term, s.orders = 1, []itemwork.Order{startOrder(9, itemwork.RunID{Term: 1, Number: 9})} })
 		time.Sleep(time.Second)
 		s.set(func() { s.term, s.orders = 2, nil })
 		time.Sleep(time.Second)
-		for _, report := range s.told() {
+		for _, report := range s.takeReports() {
 			So(report.Run, ShouldResemble, first)
 		}
 	})
 }
 
 func TestText(t *testing.T) {
-	Convey("A text takes in what a report adds, skips what it holds, and refuses what leaves a gap", t, func() {
+	Convey("Merge appends new events, skips known ones, and refuses a report that leaves a gap", t, func() {
 		var text itemwork.Text
 		report := func(from int, lastID int64, version int64, events ...string) *itemwork.Report {
 			return &itemwork.Report{From: from, LastID: lastID, Segments: []itemwork.Segment{{Version: version, Events: events}}}
