--- a/internal/batch/batch.go
+++ b/internal/batch/batch.go
@@ -1,5 +1,5 @@
-// Package batch holds the types of batch jobs: many requests that are submitted together and run later, and their results,
-// each with a position.
+// Package batch defines batch jobs, which are sets of requests submitted together and run asynchronously, and their results, each of which has a
+// position.
 package batch
 
 import (
@@ -9,24 +9,24 @@
 	"time"
 )
 
-// Job is a batch job as it was submitted.
+// Job is a batch job as submitted.
 type Job struct {
 	ID string
 	// Host and Path select the route.
 	Host string
 	Path string
-	// Tenant names whose job it is; empty for nobody's. Only callers of the same tenant learn of it.
+	// Tenant is the owner of the job; empty if it has none. Only callers of the same tenant can see it.
 	Tenant string
-	// Step is the trainer's count of its jobs.
+	// Step is the trainer's step number.
 	Step  int64
 	Model string
-	// MinVersion is the oldest weight version that may make a result.
+	// MinVersion is the oldest weight version that may produce a result.
 	MinVersion int64
-	// Desired is how many whole groups the trainer waits for.
+	// Desired is the number of complete groups that the trainer waits for.
 	Desired int
 	Items   []Item
-	// Regions are the sets of regions to which the job was bound when it was accepted; a region must be in each of them. RewardRegions are those
-	// of its reward calls. Empty sets are left out. Both are empty in jobs that older versions accepted.
+	// Regions are the region sets that bound the job when it was accepted: a region must be in each of them. RewardRegions bound its reward calls.
+	// Empty sets are left out. Both are empty in jobs accepted by older versions.
 	Regions       [][]string
 	RewardRegions [][]string
 }
@@ -35,21 +35,21 @@
 type Item struct {
 	ID   string
 	Path string
-	// Header holds the fields that go to the engine.
+	// Header holds the header fields that are sent to the engine.
 	Header map[string]string
 	Body   []byte
-	// Tokens is the size of the prompt and the most that may come out.
+	// Tokens is the prompt length plus the maximum output length, in tokens.
 	Tokens int
-	// Group names items that share their prompt.
+	// Group identifies items with the same prompt.
 	Group string
 	// Prefix identifies the shared parts of the prompt.
 	Prefix string
-	// ExpectedLength is the caller's estimate of the tokens that come out; zero if there is none.
+	// ExpectedLength is the caller's estimate of the output length in tokens; zero if it gave none.
 	ExpectedLength int
 	Reward         *Reward
 }
 
-// Reward is the call that judges an item's text.
+// Reward is the call that scores an item's text.
 type Reward struct {
 	ID   string
 	Host string
@@ -62,64 +62,63 @@
 
 // The states.
 const (
-	// Done means that the whole text is there.
+	// Done means that the text is complete.
 	Done State = iota
-	// Dead means that the item was given up.
+	// Dead means that the item was abandoned.
 	Dead
 )
 
-// Result is the end of an item.
+// Result is the final state of an item.
 type Result struct {
 	ID    string
 	State State
 	// Text holds the data of all events in order, separated by line feeds.
 	Text string
-	// Versions are the weight versions that made the text, in rising order.
+	// Versions are the weight versions that produced the text, in ascending order.
 	Versions []int64
 	Score    string
 }
 
-// Reading is a part of a job's results.
+// Reading is a page of a job's results.
 type Reading struct {
 	// Total is the number of the job's items.
 	Total int
-	// Results are those from the position that was asked for.
+	// Results are those from the requested position on.
 	Results []Result
-	// Next is the position behind the last of them.
+	// Next is the position after the last result.
 	Next int
 }
 
 var (
-	// ErrNotFound reports that there is no such job or item.
-	ErrNotFound = errors.New("batch: not found")
+	// ErrNotFound reports that the job or item does not exist.
+	ErrNotFound = errors.New("batch: no such job or item")
 	// ErrRefused reports a call that was not carried out and never will be.
-	ErrRefused = errors.New("batch: refused")
-	// ErrExcluded is an ErrRefused: the job's bounds exclude the region of the coordinating process.
-	ErrExcluded = fmt.Errorf("%w: region not allowed", ErrRefused)
-	// ErrUnavailable reports a call that cannot be answered for sure now.
-	ErrUnavailable = errors.New("batch: unavailable")
+	ErrRefused = errors.New("batch: call refused")
+	// ErrExcluded is an ErrRefused: the job's bounds exclude the region of the coordinator.
+	ErrExcluded = fmt.Errorf("%w: job excludes the coordinator's region", ErrRefused)
+	// ErrUnavailable reports a call whose outcome is unknown or that cannot be answered now.
+	ErrUnavailable = errors.New("batch: service unavailable or outcome unknown")
 )
 
-// Service takes batch jobs. Every method may return ErrUnavailable.
+// Service manages batch jobs. Every method may return ErrUnavailable.
 type Service interface {
-	// Submit returns nil once the job is kept for good; a job that is kept already is taken again without effect. ErrRefused
-	// if it is not kept and never will be, or if its ID is that of another tenant's job.
+	// Submit returns nil once the job is stored durably; submitting a stored job again has no effect. It returns ErrRefused if the job is not
+	// stored and never will be, or if its ID belongs to another tenant's job.
 	Submit(ctx context.Context, job Job) error
-	// Read returns results from a position on, at least one if there is any within the wait. ErrNotFound if there is no such
-	// job.
+	// Read returns results from a position on, waiting up to wait for at least one. ErrNotFound if the job does not exist.
 	Read(ctx context.Context, ref Ref, position int, wait time.Duration) (Reading, error)
 	// Body returns the body of an item that has no result yet. ErrNotFound if there is none.
 	Body(ctx context.Context, ref Ref, item string) ([]byte, error)
-	// End ends a job; ending it again has no effect. ErrNotFound if there is no such job.
+	// End ends a job; ending it again has no effect. ErrNotFound if the job does not exist.
 	End(ctx context.Context, ref Ref) error
 }
 
-// Ref names a job as a caller asks for it.
+// Ref identifies a job in a call.
 type Ref struct {
 	ID string
-	// Tenant is the caller's; empty for a caller without one.
+	// Tenant is the caller's tenant; empty if it has none.
 	Tenant string
 }
 
-// MayBeSeenBy reports whether a caller of a tenant may learn of the job. Jobs of other tenants are ErrNotFound to it.
+// VisibleTo reports whether a caller of a tenant may see the job. To other callers it is ErrNotFound.
 func (j *Job) MayBeSeenBy(tenant string) bool { return j.Tenant == "" || j.Tenant == tenant }
