--- a/internal/batchrpc/batchrpc.go
+++ b/internal/batchrpc/batchrpc.go
@@ -1,4 +1,4 @@
-// Package batchrpc carries calls about batch jobs from the process that took them to the one that coordinates.
+// Package batchrpc forwards calls about batch jobs from the process that received them to the coordinator.
 package batchrpc
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/covelink/covelink/internal/rpc"
 )
 
-// code is how a call ended.
+// code is the outcome of a call.
 type code int
 
 const (
@@ -18,12 +18,12 @@
 	codeNotFound
 	codeRefused
 	codeUnavailable
-	// codeNotLeading: the process does not coordinate; nothing was done.
+	// codeNotLeading: the process is not the coordinator; the call had no effect.
 	codeNotLeading
 )
 
-// errNotLeading reports a process that does not coordinate.
-var errNotLeading = errors.New("batchrpc: not leading")
+// errNotLeading reports a process that is not the coordinator.
+var errNotLeading = errors.New("batchrpc: process is not the coordinator")
 
 var codeErrors = map[code]error{
 	codeNotFound:    batch.ErrNotFound,
@@ -44,19 +44,19 @@
 	return codeUnavailable
 }
 
-// SubmitRequest asks to take a job.
+// SubmitRequest submits a job.
 type SubmitRequest struct {
 	Job batch.Job
-	// RewardRoutes are the names of the bound routes that its reward calls take.
+	// RewardRoutes are the names of the bound routes that the job's reward calls use.
 	RewardRoutes []string
 }
 
-// ReadRequest asks for results.
+// ReadRequest requests results.
 type ReadRequest struct {
 	Job      batch.Ref
 	Position int
 	Wait     time.Duration
-	// RewardRoutes are set if the request stands for a submission whose body may not be sent (see SubmitRequest); empty for a reading.
+	// RewardRoutes are as in SubmitRequest, for a job whose body must not be sent to the coordinator; empty in a plain read.
 	RewardRoutes []string
 }
 
@@ -66,7 +66,7 @@
 	Reading batch.Reading
 }
 
-// BodyRequest asks for the body of an item.
+// BodyRequest requests the body of an item.
 type BodyRequest struct {
 	Job  batch.Ref
 	Item string
@@ -78,54 +78,54 @@
 	Body []byte
 }
 
-// EndRequest asks to end a job.
+// EndRequest ends a job.
 type EndRequest struct{ Job batch.Ref }
 
-// Reply answers the other requests.
+// Reply answers a SubmitRequest or an EndRequest.
 type Reply struct {
 	Code code
-	// Excluded is true if a job was refused because its bounds exclude the region of the process.
+	// Excluded is true if the job was refused because its bounds exclude the region of the process.
 	Excluded bool
 }
 
-// PingRequest asks whether an instance lives and coordinates.
+// PingRequest checks whether an instance is alive and the coordinator.
 type PingRequest struct {
 	Instance string
-	// Candidate is the internal address of the caller, which may coordinate too.
+	// Candidate is the internal address of the caller, which is a candidate for coordinator.
 	Candidate string
-	// Now is what the caller's clock shows.
+	// Now is the caller's clock.
 	Now time.Time
 }
 
 // PingReply answers a PingRequest.
 type PingReply struct {
 	Leading bool
-	// Unserved is for how long the store has served no call of the process.
+	// Unserved is the time since the store last served a call of the process.
 	Unserved time.Duration
 }
 
-// YieldRequest asks an instance that the store does not serve to stop the term of a token.
+// YieldRequest asks an instance that cannot reach the store to end the term of a token.
 type YieldRequest struct {
 	Instance string
 	Token    int64
 }
 
-// YieldReply answers a YieldRequest. Yielded is true once nothing of the term goes on.
+// YieldReply answers a YieldRequest. Yielded is true once all activity of the term has stopped.
 type YieldReply struct{ Yielded bool }
 
-// Lease is what a process tells and does about the coordinator's lease.
+// Lease is a process's access to the coordinator's lease.
 type Lease interface {
-	// Leading reports whether the process coordinates.
+	// Leading reports whether the process is the coordinator.
 	Leading() bool
-	// Standing answers a ping.
+	// AnswerPing answers a ping.
 	Standing(request PingRequest) PingReply
-	// YieldTo stops the term of a token.
+	// YieldTo ends the term of a token.
 	YieldTo(ctx context.Context, instance string, token int64) error
-	// NoteRewardRoutes adds names of bound routes that reward calls of jobs take, which count for the home regions.
+	// AddRewardRoutes adds bound routes that reward calls use, which the choice of home regions takes into account.
 	NoteRewardRoutes(names []string)
 }
 
-// Register makes the server answer for the service and the lease.
+// Register registers the handlers of a service and a lease with a server.
 func Register(server *rpc.Server, service batch.Service, lease Lease) {
 	rpc.Handle(server, func(ctx context.Context, _ rpc.Peer, request SubmitRequest) (Reply, error) {
 		if !lease.Leading() {
--- a/internal/batchrpc/client.go
+++ b/internal/batchrpc/client.go
@@ -19,73 +19,73 @@
 )
 
 const (
-	// callTimeout bounds a call beyond what it waits for results.
+	// callTimeout bounds a call, beyond the time that it may wait for results.
 	callTimeout = 1500 * time.Millisecond
-	// submitTimeout bounds one attempt at a submission.
+	// submitTimeout bounds one attempt of a submission.
 	submitTimeout = 4 * time.Second
-	// submitWait is how long a submission waits for a process that takes it: a lost coordinator is replaced within 3 s, and a trainer
-	// that is refused waits for its next step.
+	// submitWait bounds all attempts of a submission. It exceeds the 3 s in which a lost coordinator is replaced: a trainer whose job is refused
+	// loses the step.
 	submitWait = 6 * time.Second
 	// submitPause is the pause between two attempts.
 	submitPause = 100 * time.Millisecond
 )
 
-// Leader is the process that coordinates.
+// Coordinator is the location of the coordinator.
 type Leader struct {
-	// Address is its internal address; empty if there is none or it is not known.
+	// Address is its internal address; empty if there is no coordinator or it is unknown.
 	Address string
-	// Zone is where it stands; empty if that is not known.
+	// Zone is its zone; empty if unknown.
 	Zone string
 }
 
-// ClientParams are what a Client works with.
+// ClientParams are the dependencies of a Client.
 type ClientParams struct {
 	Calls *rpc.Client
-	// Leader returns the process that coordinates.
+	// Coordinator returns the location of the current coordinator.
 	Leader func() Leader
-	// State holds the route table, which bounds jobs, and the regions of zones.
+	// State provides the route table, which bounds jobs, and the topology.
 	State  *fleet.State
 	Logger log.Logger
 }
 
-// Client calls the coordinating process. It implements batch.Service.
+// Client calls the coordinator. It implements batch.Service.
 //
-// Guarantee: a bound job's body is sent only to a process in a region that the job's own bounds and this process's route table allow, and to none whose
-// zone is unknown.
+// Guarantee: the body of a bound job is sent only to a process in a region that both the job's own bounds and this process's route table allow, and
+// never to one whose zone is unknown.
 type Client struct {
 	ClientParams
-	ender *ender
+	endRetrier *endRetrier
 }
 
 var _ batch.Service = (*Client)(nil)
 
-// NewClient returns a Client.
+// NewClient returns a Client. It must be closed.
 func NewClient(params ClientParams) *Client {
 	c := &Client{ClientParams: params}
-	c.ender = newEnder(c.endOnce)
+	c.endRetrier = newEndRetrier(c.endOnce)
 	return c
 }
 
-// Close ends what the client does in the background.
-func (c *Client) Close() { c.ender.close() }
+// Close stops the client's background calls.
+func (c *Client) Close() { c.endRetrier.close() }
 
-// Submit implements batch.Service. While no process coordinates it waits for one: taking a job twice has no effect. It returns
-// ErrRefused only if no attempt can have been taken, and ErrExcluded, at once, if in addition the coordinating process is in an excluded region.
+// Submit implements batch.Service. It retries while there is no coordinator; repeated submissions are idempotent. It returns ErrRefused only if no
+// attempt can have been accepted, and ErrExcluded, without further attempts, if in addition the coordinator is in an excluded region.
 func (c *Client) Submit(ctx context.Context, job batch.Job) error {
 	jobresidency.Bind(c.State.View().Routes, &job)
-	err := submitUntilTaken(ctx, func(ctx context.Context) error { return c.submitOnce(ctx, job) })
+	err := submitUntilAccepted(ctx, func(ctx context.Context) error { return c.submitOnce(ctx, job) })
 	if errors.Is(err, batch.ErrExcluded) {
-		return c.settleExcluded(ctx, &job)
+		return c.resolveExcluded(ctx, &job)
 	}
 	return err
 }
 
-// settleExcluded asks, without sending the body, whether an excluded job was taken earlier: only one that was not may be refused. The question also
-// names the routes of the job's reward calls, so that the home regions take them into account.
-func (c *Client) settleExcluded(ctx context.Context, job *batch.Job) error {
+// resolveExcluded asks the coordinator, without sending the body, whether an excluded job was accepted earlier; only one that was not may be
+// refused. The request also carries the routes of the job's reward calls for the choice of home regions.
+func (c *Client) resolveExcluded(ctx context.Context, job *batch.Job) error {
 	request := ReadRequest{
 		Job: batch.Ref{ID: job.ID, Tenant: job.Tenant},
-		// Behind every result: the answer tells only whether the job is known.
+		// A position past all results: the reply only tells whether the job exists.
 		Position:     math.MaxInt32,
 		RewardRoutes: jobresidency.RewardRoutes(c.State.View().Routes, job),
 	}
@@ -101,14 +101,14 @@
 	return err
 }
 
-// residency returns where a job may be, by its own bounds and this process's route table.
+// residency returns where a job may be processed, by its own bounds and this process's route table.
 func (c *Client) residency(job *batch.Job) placement.Residency {
 	return jobresidency.Whole(c.State.View().Routes, job)
 }
 
-// submitUntilTaken repeats failed attempts for submitWait. once returns ErrUnavailable if the job may have been taken, and ErrExcluded if further
-// attempts are of no use.
-func submitUntilTaken(ctx context.Context, once func(ctx context.Context) error) error {
+// submitUntilAccepted repeats failed attempts for submitWait. once returns ErrUnavailable if the job may have been accepted, and ErrExcluded if
+// further attempts are pointless.
+func submitUntilAccepted(ctx context.Context, once func(ctx context.Context) error) error {
 	ctx, cancel := context.WithTimeout(ctx, submitWait)
 	defer cancel()
 	refusal := batch.ErrRefused
@@ -123,7 +123,7 @@
 			}
 			return batch.ErrExcluded
 		case errors.Is(err, batch.ErrUnavailable):
-			// The attempt may have been taken.
+			// The attempt may have been accepted.
 			refusal = batch.ErrUnavailable
 		}
 		pause.For(ctx, submitPause)
@@ -133,7 +133,7 @@
 	}
 }
 
-// submitOnce returns ErrUnavailable if the job may have been taken, and another error if it was not.
+// submitOnce returns ErrUnavailable if the job may have been accepted, and another error if it was not.
 func (c *Client) submitOnce(ctx context.Context, job batch.Job) error {
 	leader := c.Leader()
 	if leader.Address == "" {
@@ -179,11 +179,11 @@
 	return reply.Body, codeErrors[reply.Code]
 }
 
-// End implements batch.Service. A job whose end is not confirmed is ended in the background as soon as that can be.
+// End implements batch.Service. If the end is not confirmed, it is retried in the background.
 func (c *Client) End(ctx context.Context, ref batch.Ref) error {
 	err := c.endOnce(ctx, ref)
 	if err != nil && !errors.Is(err, batch.ErrNotFound) {
-		c.ender.insist(ref)
+		c.endRetrier.retry(ref)
 	}
 	return err
 }
@@ -196,18 +196,18 @@
 	return codeErrors[reply.Code]
 }
 
-// call makes a call that may be repeated. wait is the time that the callee may wait by itself.
+// call makes an idempotent call. wait is the time that the callee may hold it.
 func call[Req, Resp any](ctx context.Context, c *Client, request Req, wait time.Duration) (Resp, error) {
-	var none Resp
+	var zero Resp
 	address := c.Leader().Address
 	if address == "" {
-		return none, batch.ErrUnavailable
+		return zero, batch.ErrUnavailable
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout+wait)
 	defer cancel()
 	reply, err := rpc.Call[Req, Resp](ctx, c.Calls, address, request)
 	if err != nil {
-		return none, batch.ErrUnavailable
+		return zero, batch.ErrUnavailable
 	}
 	return reply, nil
 }
--- a/internal/batchrpc/ender.go
+++ b/internal/batchrpc/end_retrier.go
@@ -10,42 +10,42 @@
 )
 
 const (
-	// endRetryPause is the pause between two attempts to end a job whose caller was told that it is not known to be ended.
+	// endRetryPause is the pause between two attempts to end a job.
 	endRetryPause = 300 * time.Millisecond
-	// endRetryLimit bounds the attempts in time.
+	// endRetryLimit bounds the time of all attempts.
 	endRetryLimit = 2 * time.Minute
 )
 
-// ender goes on ending jobs whose end could not be confirmed: a caller may not ask again, and the job would run on.
-type ender struct {
+// endRetrier retries ending jobs whose end was not confirmed. Callers may not retry, and the job would keep running.
+type endRetrier struct {
 	end func(ctx context.Context, ref batch.Ref) error
 
 	mu      sync.Mutex
 	pending map[batch.Ref]struct{}
-	// ctx ends with close.
+	// ctx is canceled by close.
 	ctx     context.Context
 	cancel  context.CancelFunc
 	running sync.WaitGroup
 }
 
-func newEnder(end func(ctx context.Context, ref batch.Ref) error) *ender {
-	e := &ender{end: end, pending: make(map[batch.Ref]struct{})}
+func newEndRetrier(end func(ctx context.Context, ref batch.Ref) error) *endRetrier {
+	e := &endRetrier{end: end, pending: make(map[batch.Ref]struct{})}
 	e.ctx, e.cancel = context.WithCancel(context.Background())
 	return e
 }
 
-// insist ends a job in the background, unless that is under way already.
-func (e *ender) insist(ref batch.Ref) {
+// retry ends a job in the background, unless that is already in progress.
+func (e *endRetrier) retry(ref batch.Ref) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if _, known := e.pending[ref]; known || e.ctx.Err() != nil {
 		return
 	}
 	e.pending[ref] = struct{}{}
-	e.running.Go(func() { e.repeat(ref) })
+	e.running.Go(func() { e.retryUntilConfirmed(ref) })
 }
 
-func (e *ender) repeat(ref batch.Ref) {
+func (e *endRetrier) retryUntilConfirmed(ref batch.Ref) {
 	defer func() {
 		e.mu.Lock()
 		delete(e.pending, ref)
@@ -66,8 +66,8 @@
 	}
 }
 
-// close ends the attempts.
-func (e *ender) close() {
+// close cancels all attempts and waits for them.
+func (e *endRetrier) close() {
 	e.mu.Lock()
 	e.cancel()
 	e.mu.Unlock()
--- a/internal/batchrpc/excluded_test.go
+++ b/internal/batchrpc/excluded_test.go
@@ -15,7 +15,7 @@
 	play := func(ends ...error) (took time.Duration, err error) {
 		synctest.Test(t, func(t *testing.T) {
 			began, attempts := time.Now(), 0
-			err = submitUntilTaken(t.Context(), func(context.Context) error {
+			err = submitUntilAccepted(t.Context(), func(context.Context) error {
 				attempts++
 				return ends[min(attempts, len(ends))-1]
 			})
@@ -30,7 +30,7 @@
 		_, err = play(errNotLeading, batch.ErrExcluded)
 		So(err, ShouldEqual, batch.ErrExcluded)
 	})
-	Convey("unless an earlier attempt may have been taken", t, func() {
+	Convey("unless an earlier attempt may have been accepted", t, func() {
 		_, err := play(batch.ErrUnavailable, batch.ErrExcluded)
 		So(err, ShouldEqual, batch.ErrUnavailable)
 	})
