--- a/internal/quarantine/calls.go
+++ b/internal/quarantine/calls.go
@@ -7,33 +7,33 @@
 	"github.com/covelink/covelink/internal/rpc"
 )
 
-// TellRequest tells what a process has found out.
+// TellRequest reports records to the coordinator. The type name is the rpc method name.
 type TellRequest struct {
 	Records []Record
 }
 
 // TellReply answers a TellRequest.
 type TellReply struct {
-	// Leading is false if the process does not coordinate; it has taken in the records all the same.
+	// Leading is false if the receiver is not the coordinator; it has merged the records nevertheless.
 	Leading bool
 }
 
-// TrialRequest asks whether a held request may run once.
+// TrialRequest asks the coordinator for a trial run of a held request. The type name is the rpc method name.
 type TrialRequest struct {
-	// Known is what the asking process knows: a process that has just begun to coordinate may know less.
+	// Known is the caller's record of the request: a coordinator that has just taken over may have an older one.
 	Known Record
 }
 
 // TrialReply answers a TrialRequest.
 type TrialReply struct {
-	// Leading is false if the process does not coordinate and grants nothing.
+	// Leading is false if the receiver is not the coordinator and grants nothing.
 	Leading bool
 	Granted bool
-	// Wait is after which time the request may be tried, if that is not granted now.
+	// Wait is the time until the next trial may be requested, if none is granted now.
 	Wait time.Duration
 }
 
-// Register makes a server answer for a keeper.
+// Register registers the coordinator's rpc handlers with a server.
 func Register(server *rpc.Server, keeper *Keeper) {
 	rpc.Handle(server, func(_ context.Context, _ rpc.Peer, request TellRequest) (TellReply, error) {
 		return keeper.Receive(request), nil
@@ -43,12 +43,12 @@
 	})
 }
 
-// Tell tells the process at an address.
+// Report sends records to the process at an address.
 func Tell(ctx context.Context, calls *rpc.Client, address string, request TellRequest) (TellReply, error) {
 	return rpc.Call[TellRequest, TellReply](ctx, calls, address, request)
 }
 
-// AskTrial asks the process at an address.
+// RequestTrial requests a trial from the process at an address.
 func AskTrial(ctx context.Context, calls *rpc.Client, address string, request TrialRequest) (TrialReply, error) {
 	return rpc.Call[TrialRequest, TrialReply](ctx, calls, address, request)
 }
--- a/internal/quarantine/keeper_test.go
+++ b/internal/quarantine/coordinator_test.go
@@ -17,7 +17,7 @@
 	"github.com/covelink/covelink/internal/quarantine"
 )
 
-// term is a process that coordinates from its start to its end.
+// term is a coordinator that leads until end is called.
 type term struct {
 	*quarantine.Keeper
 	end func()
@@ -42,22 +42,22 @@
 	}
 }
 
-// unreachable is a store that takes no write.
-type unreachable struct{ metastore.Client }
+// unwritable is a store whose writes fail.
+type unwritable struct{ metastore.Client }
 
-var errAway = errors.New("store away")
+var errStoreUnavailable = errors.New("store unavailable")
 
-func (unreachable) Create(context.Context, string, metastore.Object) (metastore.Object, error) {
-	return metastore.Object{}, errAway
+func (unwritable) Create(context.Context, string, metastore.Object) (metastore.Object, error) {
+	return metastore.Object{}, errStoreUnavailable
 }
 
-func (unreachable) Replace(context.Context, string, metastore.Object) (metastore.Object, error) {
-	return metastore.Object{}, errAway
+func (unwritable) Replace(context.Context, string, metastore.Object) (metastore.Object, error) {
+	return metastore.Object{}, errStoreUnavailable
 }
 
-func TestKeeper(t *testing.T) {
+func TestCoordinator(t *testing.T) {
 	bad, other := fingerprint("bad"), fingerprint("other")
-	t.Run("what is held, and its trials, outlive every process", func(t *testing.T) {
+	t.Run("held requests and their trials survive the loss of all processes", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			store := metastoretest.New()
 			first := lead(store.Client())
@@ -72,11 +72,11 @@
 			time.Sleep(time.Second)
 			status := second.Table.Status(bad)
 			if status.Standing != quarantine.Held || status.Wait < 25*time.Second {
-				t.Errorf("%v, to be tried after %v", status.Standing, status.Wait)
+				t.Errorf("state %v, next trial after %v", status.Standing, status.Wait)
 			}
 		})
 	})
-	t.Run("a trial is granted once, whoever asks", func(t *testing.T) {
+	t.Run("a trial is granted once, however many processes ask", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			leader := lead(metastoretest.New().Client())
 			defer leader.end()
@@ -93,7 +93,7 @@
 			}
 		})
 	})
-	t.Run("two held requests are tried one after the other", func(t *testing.T) {
+	t.Run("trials of two held requests do not overlap", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			leader := lead(metastoretest.New().Client())
 			defer leader.end()
@@ -101,20 +101,20 @@
 			leader.hold(other)
 			time.Sleep(3 * time.Second)
 			if !leader.Try(t.Context(), bad).Granted {
-				t.Error("the first got no trial")
+				t.Error("no trial for the first request")
 			}
 			if reply := leader.Try(t.Context(), other); reply.Granted || reply.Wait <= 0 {
-				t.Errorf("tried beside the first: %+v", reply)
+				t.Errorf("trial granted while the first was running: %+v", reply)
 			}
 			leader.Table.NoteEnd(bad, "engine-3")
 			if !leader.Try(t.Context(), other).Granted {
-				t.Error("no trial after the end of the first")
+				t.Error("no trial after the first had its outcome")
 			}
 		})
 	})
-	t.Run("a trial that the store does not record is not granted, and not lost", func(t *testing.T) {
+	t.Run("a trial that the store does not record is neither granted nor counted", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			leader := lead(unreachable{metastoretest.New().Client()})
+			leader := lead(unwritable{metastoretest.New().Client()})
 			defer leader.end()
 			leader.hold(bad)
 			time.Sleep(3 * time.Second)
@@ -122,11 +122,11 @@
 				t.Error("granted")
 			}
 			if record := leader.Table.Record(bad); record.Trials != 0 {
-				t.Errorf("%d trials noted", record.Trials)
+				t.Errorf("%d trials recorded", record.Trials)
 			}
 		})
 	})
-	t.Run("a process whose term is over grants nothing", func(t *testing.T) {
+	t.Run("a process whose term has ended grants nothing", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			leader := lead(metastoretest.New().Client())
 			leader.hold(bad)
@@ -137,7 +137,7 @@
 			}
 		})
 	})
-	t.Run("of two processes that both believe that they coordinate, one grants", func(t *testing.T) {
+	t.Run("of two processes that both believe that they lead, one grants", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			store := metastoretest.New()
 			first, second := lead(store.Client()), lead(store.Client())
@@ -160,11 +160,11 @@
 	})
 }
 
-func TestTeller(t *testing.T) {
+func TestReporter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
-		holder := election.Term{Address: "first", Token: 1}
-		told := make(map[election.Term][]quarantine.Record)
+		current := election.Term{Address: "first", Token: 1}
+		sent := make(map[election.Term][]quarantine.Record)
 		attempts := 0
 		table := quarantine.NewTable(time.Now)
 		teller := quarantine.NewTeller(quarantine.TellerParams{
@@ -172,16 +172,16 @@
 			Coordinator: func() election.Term {
 				mu.Lock()
 				defer mu.Unlock()
-				return holder
+				return current
 			},
 			Send: func(_ context.Context, _ string, request quarantine.TellRequest) (quarantine.TellReply, error) {
 				mu.Lock()
 				defer mu.Unlock()
 				attempts++
 				if attempts == 1 {
-					return quarantine.TellReply{}, errAway
+					return quarantine.TellReply{}, errStoreUnavailable
 				}
-				told[holder] = append(told[holder], request.Records...)
+				sent[current] = append(sent[current], request.Records...)
 				return quarantine.TellReply{Leading: true}, nil
 			},
 			Logger: log.NewNopLogger(),
@@ -194,15 +194,15 @@
 		table.Merge([]quarantine.Record{{Fingerprint: fingerprint("learnt"), Engines: []string{"engine-1"}}})
 		time.Sleep(time.Second)
 		mu.Lock()
-		if len(told[holder]) != 1 || told[holder][0].Fingerprint != fingerprint("found") {
-			t.Errorf("told the first: %+v", told[holder])
+		if len(sent[current]) != 1 || sent[current][0].Fingerprint != fingerprint("found") {
+			t.Errorf("sent to the first coordinator: %+v", sent[current])
 		}
-		holder = election.Term{Address: "second", Token: 2}
+		current = election.Term{Address: "second", Token: 2}
 		mu.Unlock()
 		time.Sleep(time.Second)
 		mu.Lock()
-		if len(told[holder]) != 2 {
-			t.Errorf("told the second: %+v", told[holder])
+		if len(sent[current]) != 2 {
+			t.Errorf("sent to the second coordinator: %+v", sent[current])
 		}
 		mu.Unlock()
 		cancel()
--- a/internal/quarantine/detector.go
+++ b/internal/quarantine/detector.go
@@ -12,51 +12,50 @@
 )
 
 const (
-	// probeTimeout bounds the question whether an engine has ended, which the next attempt of a request waits for: a machine whose process
-	// has ended refuses within a round trip, 2.8 ms between zones; one that is cut off does not answer at all.
+	// probeTimeout bounds the first probe, which delays the request's next attempt. A live host without the process refuses within a round
+	// trip; an unreachable one does not answer.
 	probeTimeout = 100 * time.Millisecond
-	// lateProbes is how often an engine that did not answer is asked again, with probePause in between: a packet that was lost is sent again
-	// after a second, and an engine that has ended is away for some seconds.
-	lateProbes    = 4
-	probePause    = 150 * time.Millisecond
-	lateProbeTime = 400 * time.Millisecond
+	// Engines that did not answer the first probe are probed again: a lost SYN is retransmitted after a second, and an engine takes some
+	// seconds to restart.
+	reprobeCount    = 4
+	reprobeInterval = 150 * time.Millisecond
+	reprobeTimeout  = 400 * time.Millisecond
 )
 
-// Prober tells whether an engine has ended.
+// Prober checks whether an engine process is running.
 type Prober interface {
-	// Probe finds out whether the process that was the engine has ended, as its address refuses connections. It returns EngineUnknown if ctx
-	// ends before that can be told.
+	// Probe reports EngineExited if the engine's address refuses connections, and EngineUnknown if ctx ends first.
 	Probe(ctx context.Context, engine *fleet.Engine) Evidence
 }
 
-// Evidence is what is found out about an engine after the connection of an attempt broke.
+// Evidence is the result of probing an engine after the connection of an attempt broke.
 type Evidence int
 
-// The kinds of evidence.
+// Evidence values.
 const (
-	// EngineUnknown: it cannot be told whether the engine is there.
+	// EngineUnknown means that the probe was not answered.
 	EngineUnknown Evidence = iota
-	// EngineListens: the engine is there, and the connection broke for another cause.
+	// EngineListening means that the engine is running, so the connection broke for another reason.
 	EngineListens
-	// EngineEnded: the engine has ended while it ran the request, and perhaps others.
+	// EngineExited means that the engine process exited while it ran the request, and possibly others.
 	EngineEnded
 )
 
 var evidenceNames = [...]string{"engine unknown", "engine listens", "engine ended"}
 
-// String returns the evidence's name in logs and metrics.
+// String returns the name used in logs and metrics.
 func (e Evidence) String() string { return evidenceNames[e] }
 
-// DetectorParams are what a Detector works with.
+// DetectorParams configures a Detector.
 type DetectorParams struct {
-	// Prober may be nil; no attempt is then found to have ended its engine.
+	// Prober may be nil; every result is then EngineUnknown.
 	Prober Prober
-	// Observe is told of each finding, for metrics; nil for nobody.
+	// Observe receives each result for metrics; may be nil.
 	Observe func(evidence Evidence)
 	Logger  log.Logger
 }
 
-// Detector finds out whether engines have ended under the attempts that broke off. It is safe for concurrent use.
+// Detector checks whether engines exited during attempts whose connections broke. It is safe for concurrent use.
 type Detector struct {
 	DetectorParams
 	probes singleflight.Group
@@ -65,35 +64,35 @@
 // NewDetector returns a Detector.
 func NewDetector(params DetectorParams) *Detector { return &Detector{DetectorParams: params} }
 
-// Broke takes in that the connection of an attempt broke, without a cause on this side. A broken connection alone tells nothing of the
-// engine: it may have been reset in between. Attempts that broke at one engine at the same time share one question. If it cannot be told at
-// once, late is called should the engine turn out to have ended.
-func (d *Detector) Broke(request string, fingerprint Fingerprint, engine *fleet.Engine, late func()) Evidence {
+// CheckEngine probes the engine of an attempt whose connection broke without a local cause; the connection alone may have been reset in
+// transit. Concurrent calls for one engine share a probe. If the probe is not answered, it is repeated in the background, and onExited is
+// called if the engine turns out to have exited.
+func (d *Detector) Broke(request string, fingerprint Fingerprint, engine *fleet.Engine, onExited func()) Evidence {
 	evidence := d.probe(engine, probeTimeout)
-	d.tell(request, fingerprint, engine, evidence)
+	d.logEvidence(request, fingerprint, engine, evidence)
 	if evidence == EngineUnknown && d.Prober != nil {
-		go d.probeLate(request, fingerprint, engine, late)
+		go d.reprobe(request, fingerprint, engine, onExited)
 	}
 	return evidence
 }
 
-// probeLate asks again for an engine that did not answer.
-func (d *Detector) probeLate(request string, fingerprint Fingerprint, engine *fleet.Engine, late func()) {
-	for range lateProbes {
-		time.Sleep(probePause)
-		evidence := d.probe(engine, lateProbeTime)
+// reprobe repeats the probe of an engine that did not answer.
+func (d *Detector) reprobe(request string, fingerprint Fingerprint, engine *fleet.Engine, onExited func()) {
+	for range reprobeCount {
+		time.Sleep(reprobeInterval)
+		evidence := d.probe(engine, reprobeTimeout)
 		if evidence == EngineUnknown {
 			continue
 		}
-		d.tell(request, fingerprint, engine, evidence)
+		d.logEvidence(request, fingerprint, engine, evidence)
 		if evidence == EngineEnded {
-			late()
+			onExited()
 		}
 		return
 	}
 }
 
-func (d *Detector) tell(request string, fingerprint Fingerprint, engine *fleet.Engine, evidence Evidence) {
+func (d *Detector) logEvidence(request string, fingerprint Fingerprint, engine *fleet.Engine, evidence Evidence) {
 	if d.Observe != nil {
 		d.Observe(evidence)
 	}
--- a/internal/quarantine/detector_test.go
+++ b/internal/quarantine/detector_test.go
@@ -16,20 +16,20 @@
 	"github.com/covelink/covelink/internal/quarantine"
 )
 
-// proberFunc is a function as a quarantine.Prober.
+// proberFunc adapts a function to quarantine.Prober.
 type proberFunc func(ctx context.Context, engine *fleet.Engine) quarantine.Evidence
 
 func (f proberFunc) Probe(ctx context.Context, engine *fleet.Engine) quarantine.Evidence {
 	return f(ctx, engine)
 }
 
-// never fails a test if an engine is found to have ended late.
-func never(t *testing.T) func() { return func() { t.Error("noted late") } }
+// neverCalled returns a callback that fails the test if it is called.
+func neverCalled(t *testing.T) func() { return func() { t.Error("late exit reported") } }
 
 func TestDetector(t *testing.T) {
 	fingerprint := quarantine.FingerprintOf("", "POST", "h", "/a", []byte("body"))
 	engine := &fleet.Engine{ID: "e", Address: "nowhere"}
-	Convey("A broken attempt is told with the request's fingerprint and whether the engine has ended", t, func() {
+	Convey("A broken attempt is logged with the request's fingerprint and the probe's result", t, func() {
 		var lines bytes.Buffer
 		var observed []quarantine.Evidence
 		found := quarantine.EngineEnded
@@ -38,63 +38,63 @@
 			Observe: func(evidence quarantine.Evidence) { observed = append(observed, evidence) },
 			Logger:  log.NewLogfmtLogger(&lines),
 		})
-		So(detector.Broke("r1", fingerprint, engine, never(t)), ShouldEqual, quarantine.EngineEnded)
+		So(detector.Broke("r1", fingerprint, engine, neverCalled(t)), ShouldEqual, quarantine.EngineEnded)
 		found = quarantine.EngineListens
-		So(detector.Broke("r2", fingerprint, engine, never(t)), ShouldEqual, quarantine.EngineListens)
+		So(detector.Broke("r2", fingerprint, engine, neverCalled(t)), ShouldEqual, quarantine.EngineListens)
 		So(observed, ShouldResemble, []quarantine.Evidence{quarantine.EngineEnded, quarantine.EngineListens})
 		So(lines.String(), ShouldContainSubstring, `request=r1 fingerprint=`+fingerprint.Short()+` engine=e evidence="engine ended"`)
 		So(lines.String(), ShouldContainSubstring, `request=r2 fingerprint=`+fingerprint.Short()+` engine=e evidence="engine listens"`)
 	})
-	Convey("An engine that does not answer the question is not taken for ended, and holds nobody up for long", t, func() {
+	Convey("An engine that does not answer the probe is not reported as exited, and the probe times out", t, func() {
 		synctest.Test(t, func(t *testing.T) {
-			silent := proberFunc(func(ctx context.Context, _ *fleet.Engine) quarantine.Evidence {
+			unresponsive := proberFunc(func(ctx context.Context, _ *fleet.Engine) quarantine.Evidence {
 				<-ctx.Done()
 				return quarantine.EngineUnknown
 			})
-			detector := quarantine.NewDetector(quarantine.DetectorParams{Prober: silent, Logger: log.NewNopLogger()})
+			detector := quarantine.NewDetector(quarantine.DetectorParams{Prober: unresponsive, Logger: log.NewNopLogger()})
 			started := time.Now()
-			evidence := detector.Broke("r", fingerprint, engine, never(t))
+			evidence := detector.Broke("r", fingerprint, engine, neverCalled(t))
 			if evidence != quarantine.EngineUnknown || time.Since(started) > 100*time.Millisecond {
 				t.Errorf("found %v after %v", evidence, time.Since(started))
 			}
-			// It is asked again in the background for a while.
+			// The background probes run in this time.
 			time.Sleep(5 * time.Second)
 		})
 	})
-	Convey("An engine that answers late is asked again, and its end is noted late", t, func() {
+	Convey("An engine that does not answer is probed again, and its exit is reported late", t, func() {
 		synctest.Test(t, func(t *testing.T) {
-			var asked, noted atomic.Int32
+			var probes, reported atomic.Int32
 			late := proberFunc(func(ctx context.Context, _ *fleet.Engine) quarantine.Evidence {
-				if asked.Add(1) < 3 {
+				if probes.Add(1) < 3 {
 					<-ctx.Done()
 					return quarantine.EngineUnknown
 				}
 				return quarantine.EngineEnded
 			})
 			detector := quarantine.NewDetector(quarantine.DetectorParams{Prober: late, Logger: log.NewNopLogger()})
-			evidence := detector.Broke("r", fingerprint, engine, func() { noted.Add(1) })
+			evidence := detector.Broke("r", fingerprint, engine, func() { reported.Add(1) })
 			time.Sleep(5 * time.Second)
-			if evidence != quarantine.EngineUnknown || noted.Load() != 1 || asked.Load() != 3 {
-				t.Errorf("found %v, noted %d times after %d questions", evidence, noted.Load(), asked.Load())
+			if evidence != quarantine.EngineUnknown || reported.Load() != 1 || probes.Load() != 3 {
+				t.Errorf("found %v, reported %d times after %d probes", evidence, reported.Load(), probes.Load())
 			}
 		})
 	})
-	Convey("Attempts that break together at one engine ask once", t, func() {
+	Convey("Attempts that break concurrently at one engine share one probe", t, func() {
 		synctest.Test(t, func(t *testing.T) {
-			var asked atomic.Int32
+			var probes atomic.Int32
 			slow := proberFunc(func(context.Context, *fleet.Engine) quarantine.Evidence {
-				asked.Add(1)
+				probes.Add(1)
 				time.Sleep(10 * time.Millisecond)
 				return quarantine.EngineEnded
 			})
 			detector := quarantine.NewDetector(quarantine.DetectorParams{Prober: slow, Logger: log.NewNopLogger()})
 			var attempts sync.WaitGroup
 			for range 6 {
-				attempts.Go(func() { detector.Broke("r", fingerprint, engine, never(t)) })
+				attempts.Go(func() { detector.Broke("r", fingerprint, engine, neverCalled(t)) })
 			}
 			attempts.Wait()
-			if asked.Load() != 1 {
-				t.Errorf("asked %d times", asked.Load())
+			if probes.Load() != 1 {
+				t.Errorf("probed %d times", probes.Load())
 			}
 		})
 	})
@@ -102,7 +102,7 @@
 
 func TestFingerprint(t *testing.T) {
 	base := quarantine.FingerprintOf("tenant", "POST", "host", "/path", []byte("body"))
-	Convey("A fingerprint is that of tenant, method, host, path and body, and of their borders", t, func() {
+	Convey("A fingerprint depends on tenant, method, host, path and body, and on the boundaries between them", t, func() {
 		So(quarantine.FingerprintOf("tenant", "POST", "host", "/path", []byte("body")), ShouldEqual, base)
 		for _, other := range []quarantine.Fingerprint{
 			quarantine.FingerprintOf("other", "POST", "host", "/path", []byte("body")),
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -7,17 +7,17 @@
 	"fmt"
 )
 
-// fingerprintLength is the length of a Fingerprint in bytes: a caller cannot find two requests with one fingerprint in less than 2^64 tries.
+// fingerprintLength is the length of a Fingerprint in bytes; finding a collision takes some 2^64 tries.
 const fingerprintLength = 16
 
-// shortLength is how many bytes of a Fingerprint its form in logs has.
+// shortLength is the number of bytes shown by Short.
 const shortLength = 6
 
-// Fingerprint identifies a request by what its caller repeats when it sends the request again: never by the caller's name for an attempt.
-// The caller is a part of it, so that none can have another's requests refused.
+// Fingerprint identifies a request by the content that a retry repeats, not by an ID of the attempt. It includes the tenant, so that no
+// tenant can get another's requests refused.
 type Fingerprint [fingerprintLength]byte
 
-// FingerprintOf returns the fingerprint of a request. target is the path with the query; tenant is empty for a caller that is not known.
+// FingerprintOf returns the fingerprint of a request. target is the path with the query; tenant is empty for an unidentified caller.
 func FingerprintOf(tenant, method, host, target string, body []byte) Fingerprint {
 	hash := sha256.New()
 	for _, part := range [...]string{tenant, method, host, target} {
@@ -30,17 +30,17 @@
 	return Fingerprint(hash.Sum(nil)[:fingerprintLength])
 }
 
-// ParseFingerprint reads a fingerprint from its form in hex.
+// ParseFingerprint parses the hex form.
 func ParseFingerprint(text string) (Fingerprint, error) {
 	content, err := hex.DecodeString(text)
 	if err != nil || len(content) != fingerprintLength {
-		return Fingerprint{}, fmt.Errorf("quarantine: %q is no fingerprint", text)
+		return Fingerprint{}, fmt.Errorf("quarantine: invalid fingerprint %q", text)
 	}
 	return Fingerprint(content), nil
 }
 
-// String returns the fingerprint in hex.
+// String returns the hex form.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// Short returns the beginning of the fingerprint in hex, for logs.
+// Short returns the first bytes in hex, for logs.
 func (f Fingerprint) Short() string { return hex.EncodeToString(f[:shortLength]) }
--- a/internal/quarantine/guard.go
+++ b/internal/quarantine/guard.go
@@ -11,52 +11,52 @@
 )
 
 const (
-	// askTimeout bounds the question for a trial, which the caller of a held request waits for: two round trips between zones and what a
-	// busy process takes to answer.
-	askTimeout = 250 * time.Millisecond
-	// unreachedRetryAfter is what the caller of a held request is told while nobody grants trials.
-	unreachedRetryAfter = time.Second
+	// trialRequestTimeout bounds the call to the coordinator, during which the caller of a held request waits.
+	trialRequestTimeout = 250 * time.Millisecond
+	// unavailableRetryAfter is the Retry-After of a held request while no coordinator grants trials.
+	unavailableRetryAfter = time.Second
 )
 
-// Admission is a Guard's decision on a request that has arrived.
+// Admission is a Guard's decision on an incoming request.
 type Admission struct {
 	// Refused is true if the request must not run now.
 	Refused bool
-	// RetryAfter is after which time a refused request may be tried.
+	// RetryAfter is the time after which a refused request may be retried.
 	RetryAfter time.Duration
-	// Isolated is true if the request may run at one engine only, apart from others like it.
+	// Isolated is true if the request may run at one engine only, and not beside other isolated requests.
 	Isolated bool
 }
 
-// GuardParams are what a Guard works with.
+// GuardParams configures a Guard.
 type GuardParams struct {
 	Table    *Table
 	Detector *Detector
-	// Ask asks the coordinating process for a trial of a request of which this is known.
+	// RequestTrial asks the coordinator for a trial run of the request with this record.
 	Ask func(ctx context.Context, known Record) (TrialReply, error)
-	// Observe is told of each decision, for metrics; nil for nobody.
+	// Observe receives each decision for metrics; may be nil.
 	Observe func(decision Decision)
 	Logger  log.Logger
 }
 
-// Decision is what a Guard decided on a request.
+// Decision is the outcome of a Guard's check, used as a metric label.
 type Decision string
 
-// The decisions.
+// Decision values.
 const (
-	// DecisionRefused: a held request was not run.
+	// DecisionRefused means that a held request was refused.
 	DecisionRefused Decision = "refused"
-	// DecisionTrial: a held request was granted one run.
+	// DecisionTrial means that a held request was granted a trial run.
 	DecisionTrial Decision = "trial"
-	// DecisionIsolated: a request goes to one engine only.
+	// DecisionIsolated means that a request may run at one engine only.
 	DecisionIsolated Decision = "isolated"
-	// DecisionHeld: an engine ended under a request that is held from now on, or was before.
+	// DecisionHeld means that an engine exited under a request that is now held, or already was.
 	DecisionHeld Decision = "held"
-	// DecisionReleased: a request was cleared by a run that ended well, or by an operator.
+	// DecisionReleased means that a request was cleared by a successful run or by an operator.
 	DecisionReleased Decision = "released"
 )
 
-// Guard decides on requests by what is known of them, and adds to that. A nil Guard admits all. It is safe for concurrent use.
+// Guard admits, isolates or refuses requests by their records, and records crashes and successful runs. A nil Guard admits everything. It
+// is safe for concurrent use.
 type Guard struct {
 	GuardParams
 }
@@ -64,7 +64,7 @@
 // NewGuard returns a Guard.
 func NewGuard(params GuardParams) *Guard { return &Guard{GuardParams: params} }
 
-// Admit decides whether a request may run. Its fingerprint is asked for only if something is known of any request.
+// Admit decides whether a request may run. fingerprintOf is called only if the table is not empty.
 func (g *Guard) Admit(ctx context.Context, request string, fingerprintOf func() Fingerprint) Admission {
 	if g == nil || g.Table.Empty() {
 		return Admission{}
@@ -80,11 +80,11 @@
 	return Admission{}
 }
 
-// admitHeld asks for a trial.
+// admitHeld requests a trial run unless the backoff has not passed.
 func (g *Guard) admitHeld(ctx context.Context, request string, fingerprint Fingerprint, status Status) Admission {
 	granted, wait, err := false, status.Wait, error(nil)
 	if wait == 0 {
-		granted, wait, err = g.ask(ctx, fingerprint)
+		granted, wait, err = g.requestTrial(ctx, fingerprint)
 	}
 	if !granted {
 		g.observe(DecisionRefused)
@@ -93,46 +93,46 @@
 		return Admission{Refused: true, RetryAfter: wait}
 	}
 	g.observe(DecisionTrial)
-	level.Info(g.Logger).Log("msg", "held request tried", "request", request, "fingerprint", fingerprint.Short())
+	level.Info(g.Logger).Log("msg", "trial run of held request started", "request", request, "fingerprint", fingerprint.Short())
 	return Admission{Isolated: true}
 }
 
-func (g *Guard) ask(ctx context.Context, fingerprint Fingerprint) (granted bool, wait time.Duration, err error) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+func (g *Guard) requestTrial(ctx context.Context, fingerprint Fingerprint) (granted bool, wait time.Duration, err error) {
+	ctx, cancel := context.WithTimeout(ctx, trialRequestTimeout)
 	defer cancel()
 	reply, err := g.Ask(ctx, g.Table.Record(fingerprint))
 	if err != nil || !reply.Leading {
-		return false, unreachedRetryAfter, err
+		return false, unavailableRetryAfter, err
 	}
 	return reply.Granted, reply.Wait, nil
 }
 
-// Broke takes in that the connection of an attempt broke, without a cause on this side, and returns whether the request may be sent to another
-// engine.
-func (g *Guard) Broke(request string, fingerprint Fingerprint, engine *fleet.Engine) (again bool) {
+// ConnectionLost handles a connection that broke during an attempt without a local cause. It reports whether the request may be sent to
+// another engine.
+func (g *Guard) Broke(request string, fingerprint Fingerprint, engine *fleet.Engine) (retry bool) {
 	if g == nil {
 		return true
 	}
-	noteEnd := func() Standing { return g.noteEnd(request, fingerprint, engine) }
-	if g.Detector.Broke(request, fingerprint, engine, func() { noteEnd() }) != EngineEnded {
+	recordCrash := func() Standing { return g.recordCrash(request, fingerprint, engine) }
+	if g.Detector.Broke(request, fingerprint, engine, func() { recordCrash() }) != EngineEnded {
 		return true
 	}
-	return noteEnd() < Isolated
+	return recordCrash() < Isolated
 }
 
-// noteEnd notes that an engine has ended under a request.
-func (g *Guard) noteEnd(request string, fingerprint Fingerprint, engine *fleet.Engine) Standing {
-	standing, ends := g.Table.NoteEnd(fingerprint, engine.ID)
-	level.Info(g.Logger).Log("msg", "engine ended under request", "request", request, "fingerprint", fingerprint.Short(), "engine", engine.ID,
-		"engines_ended", ends, "standing", standing)
-	if standing == Held {
+// recordCrash records that an engine exited while running a request.
+func (g *Guard) recordCrash(request string, fingerprint Fingerprint, engine *fleet.Engine) Standing {
+	state, crashes := g.Table.NoteEnd(fingerprint, engine.ID)
+	level.Info(g.Logger).Log("msg", "engine exited while running request", "request", request, "fingerprint", fingerprint.Short(), "engine", engine.ID,
+		"engines_ended", crashes, "standing", state)
+	if state == Held {
 		g.observe(DecisionHeld)
 	}
-	return standing
+	return state
 }
 
-// Completed takes in that an engine has run a request to a good end. That it has answered with a failure does not clear a request: an engine at
-// fault may fail it before it runs.
+// Completed clears a request that an engine ran successfully. Error responses do not clear: a faulty engine may fail before running the
+// request.
 func (g *Guard) Completed(request string, fingerprintOf func() Fingerprint) {
 	if g == nil || g.Table.Empty() {
 		return
@@ -142,10 +142,10 @@
 		return
 	}
 	g.observe(DecisionReleased)
-	level.Info(g.Logger).Log("msg", "request cleared", "request", request, "fingerprint", fingerprint.Short())
+	level.Info(g.Logger).Log("msg", "request cleared by successful run", "request", request, "fingerprint", fingerprint.Short())
 }
 
-// Release clears a request for an operator. It reports whether the request was suspect or held.
+// Release clears a request on behalf of an operator. It reports whether the request was suspect, isolated or held.
 func (g *Guard) Release(fingerprint Fingerprint) bool {
 	if !g.Table.Release(fingerprint) {
 		return false
--- a/internal/quarantine/listing.go
+++ b/internal/quarantine/listing.go
@@ -7,34 +7,34 @@
 )
 
 const (
-	// ListPath is where a process lists the requests under which engines have ended, with GET.
+	// ListPath lists the recorded requests (GET).
 	ListPath = "/debug/quarantine"
-	// ReleasePath is where an operator has a request released, with POST: the fingerprint in hex follows.
+	// ReleasePath releases a request (POST); the fingerprint in hex follows.
 	ReleasePath = "/debug/quarantine/release/"
-	// fingerprintField names the part of the path.
+	// fingerprintField is the path parameter.
 	fingerprintField = "fingerprint"
 )
 
-// List is the answer to ListPath.
+// List is the response of ListPath.
 type List struct {
 	Requests []Listing `json:"requests"`
 }
 
-// Listing is what an operator is shown of a request.
+// Listing describes one request.
 type Listing struct {
 	Fingerprint string `json:"fingerprint"`
 	Standing    string `json:"standing"`
-	// Engines are the starts of engines that have ended under the request.
+	// Engines are the engine starts that exited while running the request.
 	Engines []string `json:"engines"`
-	// Trials is how many runs it was granted since it was held.
+	// Trials counts the trial runs granted since the request was held.
 	Trials int `json:"trials"`
-	// IdleMillis is how long ago the last engine ended or the last trial was granted, in milliseconds.
+	// IdleMillis is the time since the last crash or granted trial, in milliseconds.
 	IdleMillis int64 `json:"idleMillis"`
-	// WaitMillis is after which time a held request may be tried, in milliseconds.
+	// WaitMillis is the time until a held request may be tried, in milliseconds.
 	WaitMillis int64 `json:"waitMillis"`
 }
 
-// Listings returns what is known, the requests under which the most engines have ended first.
+// Listings returns the requests with recorded crashes, those with the most first.
 func (t *Table) Listings() List {
 	list := List{Requests: []Listing{}}
 	for _, record := range t.List() {
@@ -54,7 +54,7 @@
 	return list
 }
 
-// Handle makes a server answer operators for a guard's table.
+// Handle registers the operator endpoints for a guard's table.
 func Handle(routes *http.ServeMux, guard *Guard) {
 	routes.HandleFunc("GET "+ListPath, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
@@ -68,7 +68,7 @@
 		case err != nil:
 			http.Error(w, err.Error(), http.StatusBadRequest)
 		case !guard.Release(fingerprint):
-			http.Error(w, "no engine is known to have ended under this request", http.StatusNotFound)
+			http.Error(w, "no recorded engine crash for this fingerprint", http.StatusNotFound)
 		}
 	})
 }
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -6,63 +6,65 @@
 )
 
 const (
-	// holdAfter is under how many ended engines a request is held. A bystander has seen so many only if it ran beside the cause each time.
-	holdAfter = 3
-	// isolateAfter is under how many ended engines a request runs apart from others like it, and at one engine for each try of its caller.
-	isolateAfter = 2
-	// suspectLife is how long after the last end a request stays suspect.
-	suspectLife = 10 * time.Minute
-	// heldLife is how long after the last end or trial a request stays held.
-	heldLife = time.Hour
-	// maxEngines bounds the engine starts of a record: more than holdAfter and all trials name.
+	// holdThreshold is the number of crashes at which a request is held. An innocent request reaches it only if it ran beside the cause
+	// each time.
+	holdThreshold = 3
+	// isolateThreshold is the number of crashes at which a request runs apart from other isolated ones, and at one engine per try of its
+	// caller.
+	isolateThreshold = 2
+	// suspectTTL is how long after its last crash a request stays suspect.
+	suspectTTL = 10 * time.Minute
+	// heldTTL is how long after its last crash or trial a request stays held.
+	heldTTL = time.Hour
+	// maxEngines bounds the engine starts of a record.
 	maxEngines = 16
 )
 
-// trialPauses are the pauses after the last end or trial before a held request may be tried once more. The first is short for the sake of
-// bystanders, such as the reward call of a whole text; after the last one the request stays held.
-var trialPauses = [...]time.Duration{2 * time.Second, 30 * time.Second}
+// trialBackoff is the delay before each trial, counted from the last crash or trial. After the last trial the request stays held until
+// heldTTL.
+var trialBackoff = [...]time.Duration{2 * time.Second, 30 * time.Second}
 
 // Record is what is known of one request.
 type Record struct {
 	Fingerprint Fingerprint
 	// Epoch counts how often the request was cleared.
 	Epoch int
-	// Engines are the starts of engines that have ended under the request since then, in order.
+	// Engines are the engine starts that exited under the request in this epoch, sorted.
 	Engines []string
-	// Trials is how many runs it was granted since it was held.
+	// Trials counts the trial runs granted since the request was held.
 	Trials int
-	// Idle is how long ago that was last added to, when the record was told.
+	// Idle is the time since the record's last update, as of when it was sent.
 	Idle time.Duration
 }
 
-// held reports whether the request may run in a trial only.
-func (r *Record) held() bool { return len(r.Engines) >= holdAfter }
+// held reports whether the request may run in trials only.
+func (r *Record) held() bool { return len(r.Engines) >= holdThreshold }
 
-// life returns how long after the last addition the record is of use.
-func (r *Record) life() time.Duration {
+// ttl returns how long the record is valid after its last update.
+func (r *Record) ttl() time.Duration {
 	if r.held() {
-		return heldLife
+		return heldTTL
 	}
-	return suspectLife
+	return suspectTTL
 }
 
-// add notes the end of an engine start. It reports whether that is new.
+// add adds an engine start. It reports whether the record changed.
 func (r *Record) add(engine string) bool {
-	at, known := slices.BinarySearch(r.Engines, engine)
-	if known || len(r.Engines) >= maxEngines {
+	index, exists := slices.BinarySearch(r.Engines, engine)
+	if exists || len(r.Engines) >= maxEngines {
 		return false
 	}
-	r.Engines = slices.Insert(slices.Clone(r.Engines), at, engine)
+	r.Engines = slices.Insert(slices.Clone(r.Engines), index, engine)
 	return true
 }
 
-// clear begins the next epoch.
+// clear starts the next epoch.
 func (r *Record) clear() {
 	r.Epoch++
 	r.Engines, r.Trials = nil, 0
 }
 
-// merge takes in another record of the same request. It reports whether that tells something new.
+// merge merges another record of the same request. It reports whether the record changed.
 func (r *Record) merge(other *Record) bool {
 	if other.Epoch < r.Epoch {
 		return false
@@ -81,10 +83,10 @@
 	return changed
 }
 
-// trialPause returns the pause before the next trial; false if there is none.
-func (r *Record) trialPause() (time.Duration, bool) {
-	if r.Trials >= len(trialPauses) {
+// nextTrialDelay returns the delay before the next trial; false if no trial is left.
+func (r *Record) nextTrialDelay() (time.Duration, bool) {
+	if r.Trials >= len(trialBackoff) {
 		return 0, false
 	}
-	return trialPauses[r.Trials], true
+	return trialBackoff[r.Trials], true
 }
--- /dev/null
+++ b/internal/quarantine/reporter.go
@@ -0,0 +1,91 @@
+package quarantine
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
+
+	"github.com/covelink/covelink/internal/election"
+	"github.com/covelink/covelink/internal/pause"
+)
+
+const (
+	// reportTimeout bounds one attempt, so that three fit into the 3 s within which other gateways must receive a record.
+	reportTimeout = 700 * time.Millisecond
+	// reportRetryDelay is the delay after a failed attempt.
+	reportRetryDelay = 100 * time.Millisecond
+	// termPollInterval is the interval at which a change of the coordinator is checked for.
+	termPollInterval = 500 * time.Millisecond
+)
+
+// ReporterParams configures a Reporter.
+type TellerParams struct {
+	Table *Table
+	// Coordinator returns the current term; its address is empty if no coordinator is known.
+	Coordinator func() election.Term
+	// Send sends records to the process at an address.
+	Send   func(ctx context.Context, address string, request TellRequest) (TellReply, error)
+	Logger log.Logger
+}
+
+// Reporter sends the records that this process changes to the coordinator, and all its records to each new one.
+type Teller struct {
+	TellerParams
+	// reported is the term that records were last sent to, and cursor how far.
+	reported election.Term
+	cursor   Cursor
+	// failing is true after a failed attempt, until the next success.
+	failing bool
+}
+
+// NewReporter returns a Reporter. Run starts it.
+func NewTeller(params TellerParams) *Teller { return &Teller{TellerParams: params} }
+
+// Run sends records until ctx ends.
+func (t *Teller) Run(ctx context.Context) {
+	for ctx.Err() == nil {
+		term := t.Coordinator()
+		if term != t.reported {
+			t.cursor = Cursor{}
+		}
+		changes, changed := t.Table.Found(t.cursor)
+		if len(changes.Records) == 0 {
+			t.reported, t.cursor = term, changes.Cursor
+			pause.Unless(ctx, changed, termPollInterval)
+			continue
+		}
+		if err := t.send(ctx, term, changes.Records); err != nil {
+			t.logFailure(term, len(changes.Records), err)
+			pause.For(ctx, reportRetryDelay)
+			continue
+		}
+		t.reported, t.cursor, t.failing = term, changes.Cursor, false
+	}
+}
+
+// errNotLeading reports a receiver that is not the coordinator.
+var errNotLeading = errors.New("quarantine: receiver is not the coordinator")
+
+func (t *Teller) send(ctx context.Context, term election.Term, records []Record) error {
+	if term.Address == "" {
+		return errNotLeading
+	}
+	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
+	defer cancel()
+	reply, err := t.Send(ctx, term.Address, TellRequest{Records: records})
+	if err == nil && !reply.Leading {
+		err = errNotLeading
+	}
+	return err
+}
+
+func (t *Teller) logFailure(term election.Term, records int, err error) {
+	if t.failing {
+		return
+	}
+	t.failing = true
+	level.Info(t.Logger).Log("msg", "quarantine records not sent to coordinator", "coordinator", term.Address, "records", records, "err", err)
+}
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -10,41 +10,41 @@
 )
 
 const (
-	// maxRecords bounds a table: an engine that ends takes at most its places and its queue along, some 30 requests.
+	// maxRecords bounds the entries of a table.
 	maxRecords = 2048
-	// sweepInterval is the pause between two looks for records that are of no use any more.
+	// sweepInterval is the least time between two sweeps of expired entries.
 	sweepInterval = 10 * time.Second
 )
 
-// Standing is how a request stands.
+// State is the quarantine state of a request.
 type Standing int
 
-// The standings.
+// State values.
 const (
-	// Clear: no engine is known to have ended under the request since it last ended well.
+	// Clear means that no engine is known to have exited under the request since its last successful run.
 	Clear Standing = iota
-	// Suspect: an engine has ended under it.
+	// Suspect means that an engine exited under the request.
 	Suspect
-	// Isolated: so many have that it runs apart from others like it, at one engine for each try of its caller. If the next end is its
-	// doing, the others do not count it.
+	// Isolated means that the request runs apart from other isolated ones, at one engine per try of its caller, so that its next crash is
+	// not charged to them.
 	Isolated
-	// Held: it may run in a trial only.
+	// Held means that the request may run in trials only.
 	Held
 )
 
-var standingNames = [...]string{"clear", "suspect", "isolated", "held"}
+var stateNames = [...]string{"clear", "suspect", "isolated", "held"}
 
-// String returns the standing's name in logs.
-func (s Standing) String() string { return standingNames[s] }
+// String returns the name used in logs.
+func (s Standing) String() string { return stateNames[s] }
 
-// Cursor names a state of a table.
+// Cursor identifies a revision of a table.
 type Cursor struct {
-	// Table names the table, and Number the last change that is known of it.
+	// Table is the table's unique ID, and Number the revision.
 	Table  string
 	Number uint64
 }
 
-// News is what changed in a table up to a state.
+// Changes are the records that changed up to a cursor.
 type News struct {
 	Cursor  Cursor
 	Records []Record
@@ -53,66 +53,66 @@
 // entry is a record in a table.
 type entry struct {
 	record Record
-	// added is when the record was last added to, anywhere.
-	added time.Time
-	// changed is the number of its last change here, and found that of the last one that was found out by this process.
-	changed, found uint64
+	// updated is when the record was last updated by any process.
+	updated time.Time
+	// revision is that of the entry's last change in this table, and localRevision that of its last change found by this process.
+	revision, localRevision uint64
 }
 
-// Table holds what a process knows of requests under which engines have ended. It is safe for concurrent use.
+// Table holds the records that a process knows. It is safe for concurrent use.
 type Table struct {
 	now  func() time.Time
 	name string
 
-	mu      sync.Mutex
-	entries map[Fingerprint]*entry
-	number  uint64
-	news    chan struct{}
-	swept   time.Time
+	mu        sync.Mutex
+	entries   map[Fingerprint]*entry
+	revision  uint64
+	changed   chan struct{}
+	lastSweep time.Time
 }
 
-// NewTable returns an empty Table that reads the time from now.
+// NewTable returns an empty Table. now returns the current time.
 func NewTable(now func() time.Time) *Table {
-	return &Table{now: now, name: uuid.NewString(), entries: make(map[Fingerprint]*entry), news: make(chan struct{})}
+	return &Table{now: now, name: uuid.NewString(), entries: make(map[Fingerprint]*entry), changed: make(chan struct{})}
 }
 
-// Empty reports whether nothing is known of any request.
+// Empty reports whether the table has no records.
 func (t *Table) Empty() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.entries) == 0
 }
 
-// Status is what a table knows of a request. The zero value is that of a request of which nothing is known.
+// Status is the state of a request. The zero value is that of a request without a record.
 type Status struct {
 	Standing Standing
-	// Ends is how many engines have ended under the request.
+	// Crashes counts the engines that exited under the request.
 	Ends int
-	// Wait is after which time the request may be tried, if it is held.
+	// Wait is the time until a held request may be tried.
 	Wait time.Duration
 }
 
-// Status returns what is known of a request.
+// Status returns the status of a request.
 func (t *Table) Status(fingerprint Fingerprint) Status {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
-	known := t.liveAt(fingerprint, now)
-	if known == nil {
+	e := t.lookupAt(fingerprint, now)
+	if e == nil {
 		return Status{}
 	}
-	status := Status{Standing: known.standing(), Ends: len(known.record.Engines)}
+	status := Status{Standing: e.state(), Ends: len(e.record.Engines)}
 	if status.Standing == Held {
-		status.Wait = known.wait(now)
+		status.Wait = e.wait(now)
 	}
 	return status
 }
 
-func (e *entry) standing() Standing {
+func (e *entry) state() Standing {
 	switch {
 	case e.record.held():
 		return Held
-	case len(e.record.Engines) >= isolateAfter:
+	case len(e.record.Engines) >= isolateThreshold:
 		return Isolated
 	case len(e.record.Engines) > 0:
 		return Suspect
@@ -120,123 +120,123 @@
 	return Clear
 }
 
-// NoteEnd notes that an engine has ended under a request. It returns how the request stands then.
-func (t *Table) NoteEnd(fingerprint Fingerprint, engine string) (standing Standing, ends int) {
+// RecordCrash records that an engine exited under a request, and returns the request's new state.
+func (t *Table) NoteEnd(fingerprint Fingerprint, engine string) (state Standing, crashes int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	known := t.ensure(fingerprint)
-	if known.record.add(engine) {
-		t.noteFound(known)
+	e := t.getOrCreate(fingerprint)
+	if e.record.add(engine) {
+		t.markLocalChange(e)
 	}
-	return known.standing(), len(known.record.Engines)
+	return e.state(), len(e.record.Engines)
 }
 
-// Release notes that a run of a request ended well. It reports whether the request was suspect or held.
+// Release clears a request. It reports whether the request was suspect, isolated or held.
 func (t *Table) Release(fingerprint Fingerprint) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	known := t.live(fingerprint)
-	if known == nil || known.standing() == Clear {
+	e := t.lookup(fingerprint)
+	if e == nil || e.state() == Clear {
 		return false
 	}
-	known.record.clear()
-	t.noteFound(known)
+	e.record.clear()
+	t.markLocalChange(e)
 	return true
 }
 
-// NoteTrial notes that a held request is granted one run.
+// RecordTrial records that a held request was granted a trial run.
 func (t *Table) NoteTrial(fingerprint Fingerprint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	known := t.live(fingerprint)
-	if known == nil || !known.record.held() {
+	e := t.lookup(fingerprint)
+	if e == nil || !e.record.held() {
 		return
 	}
-	known.record.Trials++
-	t.noteFound(known)
+	e.record.Trials++
+	t.markLocalChange(e)
 }
 
-// wait returns after which time a held request may be tried.
+// wait returns the time until a held request may be tried.
 func (e *entry) wait(now time.Time) time.Duration {
-	pause, more := e.record.trialPause()
-	if !more {
-		pause = heldLife
+	delay, ok := e.record.nextTrialDelay()
+	if !ok {
+		delay = heldTTL
 	}
-	return max(pause-now.Sub(e.added), 0)
+	return max(delay-now.Sub(e.updated), 0)
 }
 
-// Merge takes in what another process knows.
+// Merge merges the records of another process.
 func (t *Table) Merge(records []Record) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for i := range records {
-		told := &records[i]
-		if told.Idle > told.life() {
+		received := &records[i]
+		if received.Idle > received.ttl() {
 			continue
 		}
-		known := t.ensure(told.Fingerprint)
-		if !known.record.merge(told) {
+		e := t.getOrCreate(received.Fingerprint)
+		if !e.record.merge(received) {
 			continue
 		}
-		if at := t.now().Add(-told.Idle); at.After(known.added) {
-			known.added = at
+		if at := t.now().Add(-received.Idle); at.After(e.updated) {
+			e.updated = at
 		}
-		t.noteChange(known)
+		t.markChange(e)
 	}
 }
 
-// Record returns what is known of a request.
+// Record returns the record of a request.
 func (t *Table) Record(fingerprint Fingerprint) Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	known := t.live(fingerprint)
-	if known == nil {
+	e := t.lookup(fingerprint)
+	if e == nil {
 		return Record{Fingerprint: fingerprint}
 	}
-	return t.told(known)
+	return t.recordOf(e)
 }
 
-// Since returns what has changed since a state, and a channel that is closed at the next change. All is told of a table that the cursor does
-// not name.
+// Since returns the records that changed after a cursor, and a channel that is closed at the next change. A cursor of another table yields
+// all records.
 func (t *Table) Since(cursor Cursor) (News, <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if cursor.Table != t.name {
 		cursor.Number = 0
 	}
-	if cursor.Number == t.number {
-		return News{Cursor: Cursor{Table: t.name, Number: t.number}}, t.news
+	if cursor.Number == t.revision {
+		return News{Cursor: Cursor{Table: t.name, Number: t.revision}}, t.changed
 	}
-	return t.choose(func(e *entry) bool { return e.changed > cursor.Number }), t.news
+	return t.collect(func(e *entry) bool { return e.revision > cursor.Number }), t.changed
 }
 
 // Changed returns a channel that is closed at the next change.
 func (t *Table) Changed() <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.news
+	return t.changed
 }
 
-// Found returns what this process has found out itself since a state; all that is known if the cursor names another table.
+// LocalSince returns the records that this process changed itself after a cursor; all records if the cursor is of another table.
 func (t *Table) Found(cursor Cursor) (News, <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if cursor.Table != t.name {
-		return t.choose(func(*entry) bool { return true }), t.news
+		return t.collect(func(*entry) bool { return true }), t.changed
 	}
-	return t.choose(func(e *entry) bool { return e.found > cursor.Number }), t.news
+	return t.collect(func(e *entry) bool { return e.localRevision > cursor.Number }), t.changed
 }
 
-// List returns all records, those with the most ended engines first.
+// List returns all records, those with the most crashes first.
 func (t *Table) List() []Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	records := t.choose(func(*entry) bool { return true }).Records
+	records := t.collect(func(*entry) bool { return true }).Records
 	slices.SortFunc(records, func(a, b Record) int { return cmp.Compare(len(b.Engines), len(a.Engines)) })
 	return records
 }
 
-// Count returns how many requests are held, and how many are suspect.
+// Count returns the numbers of held and of suspect requests.
 func (t *Table) Count() (held, suspect int) {
 	for _, record := range t.List() {
 		switch {
@@ -249,95 +249,94 @@
 	return held, suspect
 }
 
-// choose returns the records that are chosen. The mutex must be held.
-func (t *Table) choose(chosen func(*entry) bool) News {
+// collect returns the matching records. The mutex must be held.
+func (t *Table) collect(match func(*entry) bool) News {
 	t.sweep()
-	news := News{Cursor: Cursor{Table: t.name, Number: t.number}}
-	for _, known := range t.entries {
-		if chosen(known) {
-			news.Records = append(news.Records, t.told(known))
+	changes := News{Cursor: Cursor{Table: t.name, Number: t.revision}}
+	for _, e := range t.entries {
+		if match(e) {
+			changes.Records = append(changes.Records, t.recordOf(e))
 		}
 	}
-	return news
+	return changes
 }
 
-// told returns an entry's record as others are told it. The mutex must be held.
-func (t *Table) told(known *entry) Record {
-	record := known.record
-	record.Idle = t.now().Sub(known.added)
+// recordOf returns an entry's record with its idle time set. The mutex must be held.
+func (t *Table) recordOf(e *entry) Record {
+	record := e.record
+	record.Idle = t.now().Sub(e.updated)
 	return record
 }
 
-// live returns an entry that is of use; nil if there is none. The mutex must be held.
-func (t *Table) live(fingerprint Fingerprint) *entry { return t.liveAt(fingerprint, t.now()) }
+// lookup returns an entry that has not expired, or nil. The mutex must be held.
+func (t *Table) lookup(fingerprint Fingerprint) *entry { return t.lookupAt(fingerprint, t.now()) }
 
-func (t *Table) liveAt(fingerprint Fingerprint, now time.Time) *entry {
-	known, ok := t.entries[fingerprint]
-	if !ok || now.Sub(known.added) > known.record.life() {
+func (t *Table) lookupAt(fingerprint Fingerprint, now time.Time) *entry {
+	e, ok := t.entries[fingerprint]
+	if !ok || now.Sub(e.updated) > e.record.ttl() {
 		return nil
 	}
-	return known
+	return e
 }
 
-// ensure returns a request's entry. The mutex must be held.
-func (t *Table) ensure(fingerprint Fingerprint) *entry {
-	if known := t.live(fingerprint); known != nil {
-		return known
+// getOrCreate returns a request's entry. The mutex must be held.
+func (t *Table) getOrCreate(fingerprint Fingerprint) *entry {
+	if e := t.lookup(fingerprint); e != nil {
+		return e
 	}
 	t.sweep()
 	if len(t.entries) >= maxRecords {
-		t.dropOldest()
+		t.evictOldest()
 	}
-	known := &entry{record: Record{Fingerprint: fingerprint}}
-	t.entries[fingerprint] = known
-	return known
+	e := &entry{record: Record{Fingerprint: fingerprint}}
+	t.entries[fingerprint] = e
+	return e
 }
 
-// noteFound notes a change that this process found out. The mutex must be held.
-func (t *Table) noteFound(known *entry) {
-	known.added = t.now()
-	t.noteChange(known)
-	known.found = known.changed
+// markLocalChange marks an entry as changed by this process. The mutex must be held.
+func (t *Table) markLocalChange(e *entry) {
+	e.updated = t.now()
+	t.markChange(e)
+	e.localRevision = e.revision
 }
 
-// noteChange notes a change. The mutex must be held.
-func (t *Table) noteChange(known *entry) {
-	t.number++
-	known.changed = t.number
-	close(t.news)
-	t.news = make(chan struct{})
+// markChange marks an entry as changed. The mutex must be held.
+func (t *Table) markChange(e *entry) {
+	t.revision++
+	e.revision = t.revision
+	close(t.changed)
+	t.changed = make(chan struct{})
 }
 
-// sweep drops entries that are of no use any more. The mutex must be held.
+// sweep drops expired entries. The mutex must be held.
 func (t *Table) sweep() {
 	now := t.now()
-	if now.Sub(t.swept) < sweepInterval {
+	if now.Sub(t.lastSweep) < sweepInterval {
 		return
 	}
-	t.swept = now
-	for fingerprint, known := range t.entries {
-		if now.Sub(known.added) > known.record.life() {
+	t.lastSweep = now
+	for fingerprint, e := range t.entries {
+		if now.Sub(e.updated) > e.record.ttl() {
 			delete(t.entries, fingerprint)
 		}
 	}
 }
 
-// dropOldest makes room for an entry: the one that was added to first goes, of those that are not held if there are such. The mutex must be
-// held.
-func (t *Table) dropOldest() {
+// evictOldest evicts the least recently updated entry, preferring those that are not held. The mutex must be held.
+func (t *Table) evictOldest() {
 	var oldest *entry
-	for _, known := range t.entries {
-		if oldest == nil || known.before(oldest) {
-			oldest = known
+	for _, e := range t.entries {
+		if oldest == nil || e.evictedBefore(oldest) {
+			oldest = e
 		}
 	}
 	delete(t.entries, oldest.record.Fingerprint)
 }
 
-// before reports whether an entry gives way before another.
-func (e *entry) before(other *entry) bool {
+// evictedBefore reports whether an entry is evicted before another.
+func (e *entry) evictedBefore(other *entry) bool {
 	if e.record.held() != other.record.held() {
 		return !e.record.held()
 	}
-	return e.added.Before(other.added)
+	return e.updated.Before(other.updated)
 }
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -17,94 +17,94 @@
 	return quarantine.FingerprintOf("", "POST", "h", "/"+name, nil)
 }
 
-// clock is a time that tests move.
-type clock struct{ at time.Time }
+// manualClock is a clock that tests advance.
+type manualClock struct{ current time.Time }
 
-func (c *clock) now() time.Time { return c.at }
+func (c *manualClock) now() time.Time { return c.current }
 
-func (c *clock) pass(length time.Duration) { c.at = c.at.Add(length) }
+func (c *manualClock) advance(length time.Duration) { c.current = c.current.Add(length) }
 
-func newClock() *clock { return &clock{at: time.Unix(1_000_000, 0)} }
+func newClock() *manualClock { return &manualClock{current: time.Unix(1_000_000, 0)} }
 
-func TestStanding(t *testing.T) {
-	standing := func(table *quarantine.Table, of quarantine.Fingerprint) quarantine.Standing {
+func TestTableState(t *testing.T) {
+	stateOf := func(table *quarantine.Table, of quarantine.Fingerprint) quarantine.Standing {
 		return table.Status(of).Standing
 	}
 	bad, other := fingerprint("bad"), fingerprint("other")
-	Convey("Three ends of different engine starts hold a request, and it alone", t, func() {
-		at := newClock()
-		table := quarantine.NewTable(at.now)
+	Convey("A request is held after three crashes of different engine starts; other requests are unaffected", t, func() {
+		clock := newClock()
+		table := quarantine.NewTable(clock.now)
 		So(table.Empty(), ShouldBeTrue)
 		for i, expected := range []quarantine.Standing{quarantine.Suspect, quarantine.Isolated, quarantine.Held} {
-			found, ends := table.NoteEnd(bad, fmt.Sprint("engine-", i))
-			So(found, ShouldEqual, expected)
-			So(ends, ShouldEqual, i+1)
-			again, ends := table.NoteEnd(bad, fmt.Sprint("engine-", i))
-			So(again, ShouldEqual, expected)
-			So(ends, ShouldEqual, i+1)
+			state, crashes := table.NoteEnd(bad, fmt.Sprint("engine-", i))
+			So(state, ShouldEqual, expected)
+			So(crashes, ShouldEqual, i+1)
+			repeated, crashes := table.NoteEnd(bad, fmt.Sprint("engine-", i))
+			So(repeated, ShouldEqual, expected)
+			So(crashes, ShouldEqual, i+1)
 		}
-		So(standing(table, other), ShouldEqual, quarantine.Clear)
-		Convey("A run that ends well clears it, here and wherever that is told, whatever older news comes later", func() {
-			old := table.List()
+		So(stateOf(table, other), ShouldEqual, quarantine.Clear)
+		Convey("A successful run clears it in this table and in those that merge its records, also if older records arrive later", func() {
+			outdated := table.List()
 			So(table.Release(bad), ShouldBeTrue)
 			So(table.Release(bad), ShouldBeFalse)
-			So(standing(table, bad), ShouldEqual, quarantine.Clear)
-			table.Merge(old)
-			So(standing(table, bad), ShouldEqual, quarantine.Clear)
-			elsewhere := quarantine.NewTable(at.now)
-			elsewhere.Merge(old)
-			So(standing(elsewhere, bad), ShouldEqual, quarantine.Held)
+			So(stateOf(table, bad), ShouldEqual, quarantine.Clear)
+			table.Merge(outdated)
+			So(stateOf(table, bad), ShouldEqual, quarantine.Clear)
+			elsewhere := quarantine.NewTable(clock.now)
+			elsewhere.Merge(outdated)
+			So(stateOf(elsewhere, bad), ShouldEqual, quarantine.Held)
 			elsewhere.Merge(table.List())
-			So(standing(elsewhere, bad), ShouldEqual, quarantine.Clear)
+			So(stateOf(elsewhere, bad), ShouldEqual, quarantine.Clear)
 		})
-		Convey("It may be tried after 2 s, after 30 s more, and not again within the hour after which it is forgotten", func() {
+		Convey("Trials are allowed after 2 s and after 30 s more, and the record expires an hour after the second", func() {
 			So(table.Status(bad).Wait, ShouldEqual, 2*time.Second)
-			at.pass(2 * time.Second)
+			clock.advance(2 * time.Second)
 			So(table.Status(bad).Wait, ShouldBeZeroValue)
 			table.NoteTrial(bad)
 			So(table.Status(bad).Wait, ShouldEqual, 30*time.Second)
-			at.pass(30 * time.Second)
+			clock.advance(30 * time.Second)
 			table.NoteTrial(bad)
 			So(table.Status(bad).Wait, ShouldEqual, time.Hour)
-			at.pass(time.Hour + time.Second)
-			So(standing(table, bad), ShouldEqual, quarantine.Clear)
+			clock.advance(time.Hour + time.Second)
+			So(stateOf(table, bad), ShouldEqual, quarantine.Clear)
 		})
 	})
-	Convey("A suspect is forgotten after ten minutes, and news of it that is older changes nothing", t, func() {
-		at := newClock()
-		table := quarantine.NewTable(at.now)
+	Convey("A suspect record expires after ten minutes, and merging an expired record has no effect", t, func() {
+		clock := newClock()
+		table := quarantine.NewTable(clock.now)
 		table.NoteEnd(bad, "engine-0")
-		at.pass(10*time.Minute + time.Second)
-		So(standing(table, bad), ShouldEqual, quarantine.Clear)
+		clock.advance(10*time.Minute + time.Second)
+		So(stateOf(table, bad), ShouldEqual, quarantine.Clear)
 		table.Merge([]quarantine.Record{{Fingerprint: bad, Engines: []string{"engine-0"}, Idle: 11 * time.Minute}})
-		So(standing(table, bad), ShouldEqual, quarantine.Clear)
+		So(stateOf(table, bad), ShouldEqual, quarantine.Clear)
 	})
-	Convey("A flood of suspects neither grows without bound nor drives out what is held", t, func() {
-		at := newClock()
-		table := quarantine.NewTable(at.now)
+	Convey("Many suspects neither exceed the bound nor evict held records", t, func() {
+		clock := newClock()
+		table := quarantine.NewTable(clock.now)
 		for i := range 3 {
 			table.NoteEnd(bad, fmt.Sprint("engine-", i))
 		}
 		for i := range 5000 {
-			at.pass(time.Millisecond)
+			clock.advance(time.Millisecond)
 			table.NoteEnd(fingerprint(fmt.Sprint(i)), "engine-9")
 		}
 		So(len(table.List()), ShouldBeLessThanOrEqualTo, 2048)
-		So(standing(table, bad), ShouldEqual, quarantine.Held)
+		So(stateOf(table, bad), ShouldEqual, quarantine.Held)
 	})
 }
 
-// Each table finds things out and hears of the others in any order, late, twice and by detours. Once all have heard of all, they hold the same.
+// TestTablesConverge merges tables in random order, late, repeatedly and through others, and checks that they end up equal.
 func TestTablesConverge(t *testing.T) {
 	const schedules = 2000
 	for seed := range uint64(schedules) {
 		random := rand.New(rand.NewPCG(seed, 3))
-		at := newClock()
-		tables := []*quarantine.Table{quarantine.NewTable(at.now), quarantine.NewTable(at.now), quarantine.NewTable(at.now)}
+		clock := newClock()
+		tables := []*quarantine.Table{quarantine.NewTable(clock.now), quarantine.NewTable(clock.now), quarantine.NewTable(clock.now)}
 		requests := []quarantine.Fingerprint{fingerprint("a"), fingerprint("b")}
 		var delayed [][]quarantine.Record
 		for range 40 {
-			at.pass(time.Duration(random.IntN(50)) * time.Millisecond)
+			clock.advance(time.Duration(random.IntN(50)) * time.Millisecond)
 			table, request := tables[random.IntN(len(tables))], requests[random.IntN(len(requests))]
 			switch random.IntN(6) {
 			case 0, 1:
@@ -140,28 +140,28 @@
 	}
 }
 
-func TestNews(t *testing.T) {
-	Convey("A table tells what has changed since a state, all to who knows another table, and only its own findings as found", t, func() {
+func TestTableChanges(t *testing.T) {
+	Convey("Since returns later changes, or all records for a cursor of another table; LocalSince leaves out merged records", t, func() {
 		synctest.Test(t, func(t *testing.T) {
 			table, other := quarantine.NewTable(time.Now), quarantine.NewTable(time.Now)
 			first, changed := table.Since(quarantine.Cursor{})
 			if len(first.Records) != 0 {
-				t.Error("news of an empty table")
+				t.Error("an empty table returned changes")
 			}
 			table.NoteEnd(fingerprint("a"), "engine-0")
 			<-changed
-			news, _ := table.Since(first.Cursor)
-			if len(news.Records) != 1 {
-				t.Errorf("%d records, not the one that changed", len(news.Records))
+			delta, _ := table.Since(first.Cursor)
+			if len(delta.Records) != 1 {
+				t.Errorf("%d changed records, want 1", len(delta.Records))
 			}
-			other.Merge(news.Records)
-			all, _ := other.Since(news.Cursor)
+			other.Merge(delta.Records)
+			all, _ := other.Since(delta.Cursor)
 			if len(all.Records) != 1 {
-				t.Error("a table that the caller does not know told nothing")
+				t.Error("no records for a cursor of another table")
 			}
 			found, _ := other.Found(quarantine.Cursor{Table: all.Cursor.Table})
 			if len(found.Records) != 0 {
-				t.Error("what was learnt is told as found")
+				t.Error("a merged record is returned as a local change")
 			}
 		})
 	})
