--- a/internal/batchrun/candidates.go
+++ b/internal/batchrun/candidates.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	// maxHolders bounds the engines that are remembered for a shared prompt.
-	maxHolders = 16
-	// paceClassFactor divides engines by their pace: engines of one kind differ by less, by their load and the length of the texts
-	// at them; the next slower kind of the deployments measured so far differs by 1.3.
-	paceClassFactor = 1.2
-	// maxSlowClass is the slowest class that is chosen on purpose: some two times the best pause. What is slower is likely at fault.
-	maxSlowClass = 4
+	// maxPromptHolders bounds the engines recorded per shared prompt.
+	maxPromptHolders = 16
+	// speedClassFactor is the ratio of event intervals that separates two speed classes. It exceeds the variation between engines of one
+	// kind.
+	speedClassFactor = 1.2
+	// maxSpeedClass is the slowest speed class that items with slack are placed in. A slower engine is probably faulty.
+	maxSpeedClass = 4
 )
 
-// look is what one pass of the scheduler knows of the engines. It answers for an item in the time of a few comparisons, where
-// asking every engine for every item would take all of a coordinator's processor at some hundred engines.
-type look struct {
+// schedulingPass caches the candidate engines for one pass of the scheduler, ordered in heaps, so that the cost per item does not grow with
+// the number of engines.
+type schedulingPass struct {
 	runner *Runner
 	view   *fleet.View
 	now    time.Time
@@ -33,111 +33,111 @@
 // poolKey identifies a pool. residency is the Key of its items' residency.
 type poolKey struct{ service, model, residency string }
 
-// pool holds the engines of a service that have room, for the items of one model and residency.
+// pool holds the engines of a service with free slots, for the items of one model and residency.
 type pool struct {
-	// byVersion groups them by the model's weight version.
+	// byVersion groups the engines by the model's weight version.
 	byVersion map[int64]*candidateGroup
 	byID      map[string]*candidate
-	// key is the pool's, and whole is true if all permitted engines were looked at.
-	key   poolKey
-	whole bool
-	// best is the least pause between events of any of them.
-	best time.Duration
+	key       poolKey
+	// complete is true if the pool was built from all permitted engines, not a subset.
+	complete bool
+	// minInterval is the shortest event interval of any engine in the pool.
+	minInterval time.Duration
 }
 
-// candidateGroup are the engines of one weight version: cheapest first for work that is urgent, slowest first for work that is not.
+// candidateGroup holds the engines of one weight version: cheapest first for urgent items, slowest first for items with slack.
 type candidateGroup struct {
 	cheapest candidateHeap
 	slowest  candidateHeap
 }
 
-// candidate is an engine with room.
+// candidate is an engine with free slots.
 type candidate struct {
 	engine  *fleet.Engine
 	record  *engineRecord
 	slots   int
 	version int64
-	// cost is that of one more item whose shared prompt it does not hold.
+	// cost is the cost of one more item whose shared prompt the engine does not hold.
 	cost float64
-	// paceClass is how much slower it is than the quickest engine, in steps of paceClassFactor.
-	paceClass int
-	// places are the indices in the heaps, by their order.
-	places [heapOrders]int
+	// speedClass is 0 for the fastest engines and grows by 1 for each speedClassFactor by which the engine is slower.
+	speedClass int
+	// heapIndexes holds the candidate's index in each heap, by heapOrder.
+	heapIndexes [heapOrders]int
 }
 
-func (r *Runner) newLook(view *fleet.View) *look {
-	return &look{runner: r, view: view, now: r.now(), pools: make(map[poolKey]*pool)}
+func (r *Runner) newSchedulingPass(view *fleet.View) *schedulingPass {
+	return &schedulingPass{runner: r, view: view, now: r.now(), pools: make(map[poolKey]*pool)}
 }
 
-// poolOf returns the pool of an item: permitted engines with room of the service that its route picks.
-func (l *look) poolOf(route *routing.Route, it *item) *pool {
-	return l.pool(route.Pick(draw(it.ID)), it.job.Model, l.residencyOf(route, it))
+// poolOf returns the pool of an item: permitted engines with free slots in the service that its route selects.
+func (s *schedulingPass) poolOf(route *routing.Route, it *item) *pool {
+	return s.pool(route.Pick(hashFraction(it.ID)), it.job.Model, s.residencyOf(route, it))
 }
 
-func (l *look) residencyOf(route *routing.Route, it *item) placement.Residency {
-	residency := placement.ResidencyOf(l.view.Routes, route, it.job.Tenant)
+func (s *schedulingPass) residencyOf(route *routing.Route, it *item) placement.Residency {
+	residency := placement.ResidencyOf(s.view.Routes, route, it.job.Tenant)
 	residency.Accepted = it.job.Regions
 	return residency
 }
 
-// pool returns the engines of a service with room for a model's items, as far as the placement filter permits them for items of the
-// residency.
-func (l *look) pool(service, model string, residency placement.Residency) *pool {
+// pool returns the engines of a service with free slots for a model's items, as far as the placement filter permits them for the residency.
+func (s *schedulingPass) pool(service, model string, residency placement.Residency) *pool {
 	key := poolKey{service: service, model: model, residency: residency.Key()}
-	if known, ok := l.pools[key]; ok {
+	if known, ok := s.pools[key]; ok {
 		return known
 	}
-	permitted := placement.NewFilter(l.view, residency).Engines(service)
-	engines, whole := l.runner.focused(l.view, key, permitted)
-	made := l.newPool(key, engines)
-	made.whole = whole
-	return made
+	permitted := placement.NewFilter(s.view, residency).Engines(service)
+	engines, complete := s.runner.subsetFor(s.view, key, permitted)
+	created := s.newPool(key, engines)
+	created.complete = complete
+	return created
 }
 
-// widened returns the pool of all permitted engines in place of one that has none for an item, or nil if that was looked at lately or is the same.
-func (l *look) widened(narrow *pool, residency placement.Residency) *pool {
-	if narrow.whole || !l.runner.mayWiden(narrow.key, l.now) {
+// widen replaces a subset pool that has no engine for an item by the pool of all permitted engines. It returns nil if the pool is complete,
+// or if it was widened within widenInterval.
+func (s *schedulingPass) widen(narrow *pool, residency placement.Residency) *pool {
+	if narrow.complete || !s.runner.tryWiden(narrow.key, s.now) {
 		return nil
 	}
-	wide := l.newPool(narrow.key, placement.NewFilter(l.view, residency).Engines(narrow.key.service))
-	wide.whole = true
-	return wide
+	widened := s.newPool(narrow.key, placement.NewFilter(s.view, residency).Engines(narrow.key.service))
+	widened.complete = true
+	return widened
 }
 
-// newPool makes the pool of those of the engines that have room.
-func (l *look) newPool(key poolKey, engines []*fleet.Engine) *pool {
-	made := &pool{byVersion: make(map[int64]*candidateGroup), byID: make(map[string]*candidate), key: key}
-	l.pools[key] = made
+// newPool builds the pool of those engines that have free slots.
+func (s *schedulingPass) newPool(key poolKey, engines []*fleet.Engine) *pool {
+	created := &pool{byVersion: make(map[int64]*candidateGroup), byID: make(map[string]*candidate), key: key}
+	s.pools[key] = created
 	for _, engine := range engines {
-		record := l.runner.engine(engine.ID)
+		record := s.runner.engine(engine.ID)
 		slots := engine.Slots
 		if slots <= 0 {
 			slots = defaultSlots
 		}
-		if record.running >= slots || record.loading || record.asideTil.After(l.now) || !l.runner.bears(engine) {
+		if record.running >= slots || record.loading || record.backoffUntil.After(s.now) || !s.runner.hasColdCapacity(engine) {
 			continue
 		}
-		made.add(&candidate{
+		created.add(&candidate{
 			engine:  engine,
 			record:  record,
 			slots:   slots,
-			version: record.version(engine, key.model, l.now),
-			cost:    record.cost(slots, "", l.now),
+			version: record.version(engine, key.model, s.now),
+			cost:    record.cost(slots, "", s.now),
 		})
 	}
-	made.rank(l.now)
-	return made
+	created.rank(s.now)
+	return created
 }
 
-// rank orders the engines of each version.
+// rank computes speed classes and orders the engines of each version.
 func (p *pool) rank(now time.Time) {
 	for _, known := range p.byID {
-		if pause := known.record.pause(now); p.best == 0 || pause < p.best {
-			p.best = pause
+		if interval := known.record.eventInterval(now); p.minInterval == 0 || interval < p.minInterval {
+			p.minInterval = interval
 		}
 	}
 	for _, known := range p.byID {
-		known.paceClass = paceClass(known.record.pause(now), p.best)
+		known.speedClass = speedClassOf(known.record.eventInterval(now), p.minInterval)
 	}
 	for _, group := range p.byVersion {
 		heap.Init(&group.cheapest)
@@ -145,9 +145,9 @@
 	}
 }
 
-// paceClass returns how much slower a pause is than the least one, in steps of paceClassFactor.
-func paceClass(pause, best time.Duration) int {
-	return int(math.Log(float64(pause)/float64(best)) / math.Log(paceClassFactor))
+// speedClassOf returns the speed class of an event interval relative to the shortest one.
+func speedClassOf(interval, shortest time.Duration) int {
+	return int(math.Log(float64(interval)/float64(shortest)) / math.Log(speedClassFactor))
 }
 
 func (p *pool) add(added *candidate) {
@@ -161,124 +161,124 @@
 	p.byID[added.engine.ID] = added
 }
 
-// choose returns the engine for an item and the pause between events that is expected there, or nil if none can take it now. Its
-// weights are of the least version or newer.
-func (l *look) choose(route *routing.Route, it *item, least int64) (best *candidate, bestCost float64) {
-	from := l.poolOf(route, it)
-	if best, bestCost = l.chooseFrom(from, route, it, least); best != nil {
+// choose returns the engine for an item and the event interval expected there, or nil if none can take it now. The engine's weights are of
+// minVersion or newer.
+func (s *schedulingPass) choose(route *routing.Route, it *item, minVersion int64) (best *candidate, bestCost float64) {
+	from := s.poolOf(route, it)
+	if best, bestCost = s.chooseFrom(from, route, it, minVersion); best != nil {
 		return best, bestCost
 	}
-	if wide := l.widened(from, l.residencyOf(route, it)); wide != nil {
-		return l.chooseFrom(wide, route, it, least)
+	if widened := s.widen(from, s.residencyOf(route, it)); widened != nil {
+		return s.chooseFrom(widened, route, it, minVersion)
 	}
 	return nil, 0
 }
 
 // chooseFrom is choose for the engines of one pool.
-func (l *look) chooseFrom(from *pool, route *routing.Route, it *item, least int64) (best *candidate, bestCost float64) {
+func (s *schedulingPass) chooseFrom(from *pool, route *routing.Route, it *item, minVersion int64) (best *candidate, bestCost float64) {
 	for version, group := range from.byVersion {
-		if group.cheapest.Len() == 0 || version < least || !allows(route, it, version) {
+		if group.cheapest.Len() == 0 || version < minVersion || !versionAllowed(route, it, version) {
 			continue
 		}
-		cheapest := group.cheapest.of[0]
-		if best == nil || cheapest.before(best) {
+		cheapest := group.cheapest.candidates[0]
+		if best == nil || cheapest.cheaperThan(best) {
 			best, bestCost = cheapest, cheapest.cost
 		}
 	}
-	for _, id := range l.runner.holders[it.Prefix] {
+	for _, id := range s.runner.promptHolders[it.Prefix] {
 		holder, ok := from.byID[id]
-		if !ok || holder.version < least || !allows(route, it, holder.version) {
+		if !ok || holder.version < minVersion || !versionAllowed(route, it, holder.version) {
 			continue
 		}
-		if cost := holder.record.cost(holder.slots, it.Prefix, l.now); best == nil || cost < bestCost {
+		if cost := holder.record.cost(holder.slots, it.Prefix, s.now); best == nil || cost < bestCost {
 			best, bestCost = holder, cost
 		}
 	}
 	return best, bestCost
 }
 
-// chooseUnhurried returns an engine for an item whose text may take as long as the limit: the slowest kind that is quick enough, so
-// that the quick ones have room for long texts. It falls back to choose.
-func (l *look) chooseUnhurried(route *routing.Route, it *item, least int64, events float64, limit time.Duration) *candidate {
-	from := l.poolOf(route, it)
+// chooseWithSlack returns the slowest engine that is expected to produce the item's text within the limit, to keep faster engines free for
+// long texts. It falls back to choose.
+func (s *schedulingPass) chooseWithSlack(route *routing.Route, it *item, minVersion int64, events float64, limit time.Duration) *candidate {
+	from := s.poolOf(route, it)
 	var best *candidate
 	for version, group := range from.byVersion {
-		if group.slowest.Len() == 0 || version < least || !allows(route, it, version) {
+		if group.slowest.Len() == 0 || version < minVersion || !versionAllowed(route, it, version) {
 			continue
 		}
-		if slowest := group.slowest.of[0]; best == nil || slowest.slowerThan(best) {
+		if slowest := group.slowest.candidates[0]; best == nil || slowest.slowerThan(best) {
 			best = slowest
 		}
 	}
-	if best != nil && best.paceClass > 0 && best.paceClass <= maxSlowClass && events*best.cost <= limit.Seconds() {
+	if best != nil && best.speedClass > 0 && best.speedClass <= maxSpeedClass && events*best.cost <= limit.Seconds() {
 		return best
 	}
-	best, _ = l.choose(route, it, least)
+	best, _ = s.choose(route, it, minVersion)
 	return best
 }
 
-// chooseApart returns the cheapest engine that runs no item that must run apart, or nil if there is none.
-func (l *look) chooseApart(route *routing.Route, it *item, least int64) *candidate {
-	from := l.poolOf(route, it)
+// chooseIsolated returns the cheapest engine without an isolated run, or nil if there is none.
+func (s *schedulingPass) chooseIsolated(route *routing.Route, it *item, minVersion int64) *candidate {
+	from := s.poolOf(route, it)
 	var best *candidate
 	for _, known := range from.byID {
-		if known.record.apart > 0 || known.version < least || !allows(route, it, known.version) {
+		if known.record.isolated > 0 || known.version < minVersion || !versionAllowed(route, it, known.version) {
 			continue
 		}
-		if best == nil || known.before(best) {
+		if best == nil || known.cheaperThan(best) {
 			best = known
 		}
 	}
 	return best
 }
 
-// allows reports whether a weight version may make the next event of an item.
-func allows(route *routing.Route, it *item, version int64) bool {
+// versionAllowed reports whether a weight version may produce the next event of an item.
+func versionAllowed(route *routing.Route, it *item, version int64) bool {
 	if version < it.job.MinVersion {
 		return false
 	}
 	return !route.SingleVersion || len(it.text.Segments) == 0 || it.text.Segments[0].Version == version
 }
 
-// used takes in that the engine has got one more item.
-func (l *look) used(taken *candidate) {
-	for _, known := range l.pools {
-		seen, ok := known.byID[taken.engine.ID]
+// refresh updates the pools after an item was placed on the engine.
+func (s *schedulingPass) refresh(chosen *candidate) {
+	for _, known := range s.pools {
+		seen, ok := known.byID[chosen.engine.ID]
 		if !ok {
 			continue
 		}
 		group := known.byVersion[seen.version]
-		if seen.record.running >= seen.slots || !l.runner.bears(seen.engine) {
-			heap.Remove(&group.cheapest, seen.places[orderCheapest])
-			heap.Remove(&group.slowest, seen.places[orderSlowest])
+		if seen.record.running >= seen.slots || !s.runner.hasColdCapacity(seen.engine) {
+			heap.Remove(&group.cheapest, seen.heapIndexes[orderCheapest])
+			heap.Remove(&group.slowest, seen.heapIndexes[orderSlowest])
 			delete(known.byID, seen.engine.ID)
 			continue
 		}
-		seen.cost = seen.record.cost(seen.slots, "", l.now)
-		heap.Fix(&group.cheapest, seen.places[orderCheapest])
-		heap.Fix(&group.slowest, seen.places[orderSlowest])
+		seen.cost = seen.record.cost(seen.slots, "", s.now)
+		heap.Fix(&group.cheapest, seen.heapIndexes[orderCheapest])
+		heap.Fix(&group.slowest, seen.heapIndexes[orderSlowest])
 	}
 }
 
-// noteHolder takes in that an engine is about to hold a shared prompt.
-func (r *Runner) noteHolder(prefix, engine string, record *engineRecord) {
+// addPromptHolder records that an engine is about to hold a shared prompt.
+func (r *Runner) addPromptHolder(prefix, engine string, record *engineRecord) {
 	if prefix == "" || len(record.prefixes) >= maxPrefixes {
 		return
 	}
 	record.prefixes[prefix] = struct{}{}
-	holders := r.holders[prefix]
+	holders := r.promptHolders[prefix]
 	if slices.Contains(holders, engine) {
 		return
 	}
-	if len(holders) >= maxHolders {
+	if len(holders) >= maxPromptHolders {
 		holders = holders[1:]
 	}
-	r.holders[prefix] = append(holders, engine)
+	r.promptHolders[prefix] = append(holders, engine)
 }
 
-// forgetHolders drops engines that do not hold a shared prompt any more. The mutex must be held.
-func (r *Runner) forgetHolders() {
-	for prefix, holders := range r.holders {
+// prunePromptHolders drops engines that no longer hold a shared prompt. The mutex must be held.
+func (r *Runner) prunePromptHolders() {
+	for prefix, holders := range r.promptHolders {
 		holders = slices.DeleteFunc(holders, func(id string) bool {
 			record, ok := r.engines[id]
 			if !ok {
@@ -288,86 +288,86 @@
 			return !held
 		})
 		if len(holders) == 0 {
-			delete(r.holders, prefix)
+			delete(r.promptHolders, prefix)
 			continue
 		}
-		r.holders[prefix] = holders
+		r.promptHolders[prefix] = holders
 	}
 }
 
-// heapOrder is by what a candidateHeap orders.
+// heapOrder is the sort order of a candidateHeap.
 type heapOrder int
 
-// The orders.
+// Sort orders of a candidateHeap.
 const (
-	// orderCheapest puts the engine first at which one more item is expected to be quickest.
+	// orderCheapest sorts by the expected cost of one more item.
 	orderCheapest heapOrder = iota
-	// orderSlowest puts the slowest kind of engine first, and of one kind the one with the most room.
+	// orderSlowest sorts by speed class, slowest first, then by the most free slots.
 	orderSlowest
 	heapOrders
 )
 
 // candidateHeap orders candidates. It implements heap.Interface.
 type candidateHeap struct {
-	order heapOrder
-	of    []*candidate
+	order      heapOrder
+	candidates []*candidate
 }
 
-// before orders candidates by cost; equal costs by the engine's ID, so that decisions repeat.
-func (c *candidate) before(other *candidate) bool {
+// cheaperThan orders candidates by cost. Engine IDs break ties, so that decisions are deterministic.
+func (c *candidate) cheaperThan(other *candidate) bool {
 	if c.cost != other.cost {
 		return c.cost < other.cost
 	}
 	return c.engine.ID < other.engine.ID
 }
 
-// slowerThan orders candidates by pace class, then by room.
+// slowerThan orders candidates by speed class, then by free slots.
 func (c *candidate) slowerThan(other *candidate) bool {
-	// A class beyond the slowest that is chosen on purpose goes last.
-	x, y := c.paceClass, other.paceClass
-	if x > maxSlowClass {
+	// Classes beyond maxSpeedClass sort last.
+	x, y := c.speedClass, other.speedClass
+	if x > maxSpeedClass {
 		x = -1
 	}
-	if y > maxSlowClass {
+	if y > maxSpeedClass {
 		y = -1
 	}
 	if x != y {
 		return x > y
 	}
-	if taken, otherTaken := c.record.running*other.slots, other.record.running*c.slots; taken != otherTaken {
-		return taken < otherTaken
+	if chosen, otherTaken := c.record.running*other.slots, other.record.running*c.slots; chosen != otherTaken {
+		return chosen < otherTaken
 	}
 	return c.engine.ID < other.engine.ID
 }
 
 // Len implements heap.Interface.
-func (h *candidateHeap) Len() int { return len(h.of) }
+func (h *candidateHeap) Len() int { return len(h.candidates) }
 
 // Less implements heap.Interface.
 func (h *candidateHeap) Less(a, b int) bool {
 	if h.order == orderSlowest {
-		return h.of[a].slowerThan(h.of[b])
+		return h.candidates[a].slowerThan(h.candidates[b])
 	}
-	return h.of[a].before(h.of[b])
+	return h.candidates[a].cheaperThan(h.candidates[b])
 }
 
 // Swap implements heap.Interface.
 func (h *candidateHeap) Swap(a, b int) {
-	h.of[a], h.of[b] = h.of[b], h.of[a]
-	h.of[a].places[h.order], h.of[b].places[h.order] = a, b
+	h.candidates[a], h.candidates[b] = h.candidates[b], h.candidates[a]
+	h.candidates[a].heapIndexes[h.order], h.candidates[b].heapIndexes[h.order] = a, b
 }
 
 // Push implements heap.Interface.
 func (h *candidateHeap) Push(added any) {
 	c := added.(*candidate)
-	c.places[h.order] = len(h.of)
-	h.of = append(h.of, c)
+	c.heapIndexes[h.order] = len(h.candidates)
+	h.candidates = append(h.candidates, c)
 }
 
 // Pop implements heap.Interface.
 func (h *candidateHeap) Pop() any {
-	last := len(h.of) - 1
-	c := h.of[last]
-	h.of = h.of[:last]
+	last := len(h.candidates) - 1
+	c := h.candidates[last]
+	h.candidates = h.candidates[:last]
 	return c
 }
--- a/internal/batchrun/checkpoint.go
+++ b/internal/batchrun/checkpoint.go
@@ -13,116 +13,114 @@
 )
 
 const (
-	// checkpointInterval is the pause between two writes of what texts have grown by: workers report every 300 ms, and a sync takes
-	// a millisecond.
+	// checkpointInterval is the delay between two checkpoints of unfinished texts.
 	checkpointInterval = 250 * time.Millisecond
-	// rewriteSlack is by how much the log may outgrow what it held when it was last written anew, before it is written anew: a term that
-	// reads it back takes 10 ms a megabyte.
+	// rewriteSlack is how many bytes beyond twice its last rewritten size the log may grow before it is rewritten. It bounds the time to
+	// read the log back.
 	rewriteSlack = 2 << 20
-	// minCheckpointEvents is the length from which texts are kept: some 0.4 s of work. Most texts end soon after.
+	// minCheckpointEvents is the minimum length of a text in a checkpoint. Shorter texts are cheap to produce again.
 	minCheckpointEvents = 10
 )
 
-// openTexts reads the texts that earlier terms have left on this process's disk, so that the items which lack a text, or will come
-// again, go on after them. It returns the log of this term; nil if there is no disk, or none that can be written. The mutex must be
-// held.
-func (r *Runner) openTexts() *textlog.Log {
+// restoreTexts loads the checkpoints of earlier terms from this process's disk, so that unfinished and carried-over items resume from them.
+// It returns the log of this term, or nil if no disk is configured or it is not writable. The mutex must be held.
+func (r *Runner) restoreTexts() *textlog.Log {
 	if r.TextFolder == "" {
 		return nil
 	}
 	started := r.now()
 	restored, err := textlog.Read(r.TextFolder)
-	for name, text := range restored.Texts {
-		r.kept.put(unfinishedText{name: name, model: text.Model, text: text.Text})
+	for key, text := range restored.Texts {
+		r.unfinished.put(unfinishedText{key: key, model: text.Model, text: text.Text})
 	}
 	level.Info(r.Logger).Log("msg", "texts restored", "texts", len(restored.Texts), "records", restored.Records, "damaged_files", restored.Damaged,
 		"took", r.now().Sub(started).Round(time.Microsecond), "err", err)
 	log, err := textlog.Open(r.TextFolder, r.TextLimit)
 	if err != nil {
-		level.Error(r.Logger).Log("msg", "texts are not kept on disk", "err", err)
+		level.Error(r.Logger).Log("msg", "cannot open checkpoint log; unfinished texts are not written to disk", "err", err)
 		return nil
 	}
 	return log
 }
 
-// checkpoint keeps what texts grow by on this process's disk until ctx ends.
-func (r *Runner) checkpoint(ctx context.Context, log *textlog.Log) {
+// runCheckpoints writes checkpoints of unfinished texts to this process's disk until ctx ends.
+func (r *Runner) runCheckpoints(ctx context.Context, log *textlog.Log) {
 	defer log.Close()
-	// The files of earlier processes are replaced by what is known now.
-	anew := true
+	// The first checkpoint replaces the files of earlier processes.
+	rewrite := true
 	var rewritten int64
 	for ctx.Err() == nil {
-		if anew {
-			anew = !r.rewriteTexts(log)
+		if rewrite {
+			rewrite = !r.rewriteTexts(log)
 			rewritten = log.Size()
 		} else {
-			anew = !r.appendTexts(log) || log.Size() > 2*rewritten+rewriteSlack
+			rewrite = !r.appendTexts(log) || log.Size() > 2*rewritten+rewriteSlack
 		}
 		pause.For(ctx, checkpointInterval)
 	}
 }
 
-// rewriteTexts makes the log hold what is known now, and nothing else. It reports whether that was written.
+// rewriteTexts replaces the log's content by the current texts. It reports success.
 func (r *Runner) rewriteTexts(log *textlog.Log) bool {
 	r.mu.Lock()
 	entries := r.allTexts()
 	r.mu.Unlock()
-	return r.noteCheckpoint(len(entries), log.Rewrite(entries))
+	return r.recordCheckpoint(len(entries), log.Rewrite(entries))
 }
 
-// appendTexts adds what texts have grown by. It reports whether that was written.
+// appendTexts appends what texts have grown by to the log. It reports success.
 func (r *Runner) appendTexts(log *textlog.Log) bool {
 	r.mu.Lock()
-	entries := r.grownTexts()
+	entries := r.changedTexts()
 	r.mu.Unlock()
-	return len(entries) == 0 || r.noteCheckpoint(len(entries), log.Append(entries))
+	return len(entries) == 0 || r.recordCheckpoint(len(entries), log.Append(entries))
 }
 
-// noteCheckpoint takes in the outcome of a write. After one that failed everything is written anew.
-func (r *Runner) noteCheckpoint(texts int, err error) (done bool) {
+// recordCheckpoint reports the outcome of a write, and whether it succeeded. After a failed write the log is rewritten.
+func (r *Runner) recordCheckpoint(texts int, err error) (done bool) {
 	r.Observer.Checkpointed(texts, err)
 	if err != nil && !errors.Is(err, textlog.ErrFull) {
-		level.Warn(r.Logger).Log("msg", "texts not kept on disk", "texts", texts, "err", err)
+		level.Warn(r.Logger).Log("msg", "cannot write checkpoint of unfinished texts", "texts", texts, "err", err)
 	}
 	return err == nil
 }
 
-// grownTexts returns what unfinished texts have grown by since they were last returned. The mutex must be held.
-func (r *Runner) grownTexts() []textlog.Entry {
+// changedTexts returns what unfinished texts have grown by since the last call. The mutex must be held.
+func (r *Runner) changedTexts() []textlog.Entry {
 	var entries []textlog.Entry
 	for _, it := range r.unfinishedItems() {
 		length := it.text.Len()
 		if length < it.checkpointed {
-			// The text was begun anew.
+			// The text was restarted.
 			it.checkpointed = 0
 		}
 		if length < minCheckpointEvents || length == it.checkpointed && it.text.Whole == it.checkpointedWhole {
 			continue
 		}
-		entries = append(entries, checkpointOf(it.textName(), it.job.Model, &it.text, it.checkpointed))
+		entries = append(entries, checkpointEntry(it.textKey(), it.job.Model, &it.text, it.checkpointed))
 		it.checkpointed, it.checkpointedWhole = length, it.text.Whole
 	}
 	return entries
 }
 
-// allTexts returns all unfinished texts, and those that later jobs may use, from their start. The mutex must be held.
+// allTexts returns all unfinished texts, and those kept for later jobs, from their start. The mutex must be held.
 func (r *Runner) allTexts() []textlog.Entry {
 	var entries []textlog.Entry
-	r.kept.each(func(kept *unfinishedText) {
+	r.unfinished.each(func(kept *unfinishedText) {
 		if kept.text.Len() >= minCheckpointEvents {
-			entries = append(entries, checkpointOf(kept.name, kept.model, &kept.text, 0))
+			entries = append(entries, checkpointEntry(kept.key, kept.model, &kept.text, 0))
 		}
 	})
 	for _, it := range r.unfinishedItems() {
 		it.checkpointed, it.checkpointedWhole = it.text.Len(), it.text.Whole
 		if it.checkpointed >= minCheckpointEvents {
-			entries = append(entries, checkpointOf(it.textName(), it.job.Model, &it.text, 0))
+			entries = append(entries, checkpointEntry(it.textKey(), it.job.Model, &it.text, 0))
 		}
 	}
 	return entries
 }
 
-// unfinishedItems returns the items whose texts still grow, or are not listed yet. The mutex must be held.
+// unfinishedItems returns the items without a result, including those of detached runs. The mutex must be held.
 func (r *Runner) unfinishedItems() []*item {
 	var found []*item
 	for _, j := range r.order {
@@ -141,6 +139,6 @@
 	return found
 }
 
-func checkpointOf(name, model string, text *itemwork.Text, from int) textlog.Entry {
-	return textlog.Entry{Item: name, Model: model, From: from, Segments: text.After(from), LastID: text.LastID, Whole: text.Whole}
+func checkpointEntry(key, model string, text *itemwork.Text, from int) textlog.Entry {
+	return textlog.Entry{Item: key, Model: model, From: from, Segments: text.After(from), LastID: text.LastID, Whole: text.Whole}
 }
--- a/internal/batchrun/commit.go
+++ b/internal/batchrun/commit.go
@@ -13,35 +13,35 @@
 )
 
 const (
-	// commitInterval is the least time between two writes of a job's results.
+	// commitInterval is the minimum delay between two writes of a job's results.
 	commitInterval = 150 * time.Millisecond
-	// listingDelay is how long a result waits, at the most, for others of its job, unless it makes a group whole, of which a trainer
-	// can make use: about a sixth of what an item takes, in which half of the writes to the store are saved.
-	listingDelay = 500 * time.Millisecond
-	// commitPause is the pause after a write that failed.
-	commitPause = 100 * time.Millisecond
+	// maxBatchDelay bounds how long a result waits for others of its job, to save writes to the store. A result that completes a group does
+	// not wait.
+	maxBatchDelay = 500 * time.Millisecond
+	// commitRetryDelay is the delay after a failed write.
+	commitRetryDelay = 100 * time.Millisecond
 )
 
-// commit keeps the results of a job and then lists them, until the job's log is sealed or ctx ends.
+// commit stores the results of a job and then lists them, until the job's log is sealed or ctx ends.
 func (r *Runner) commit(ctx context.Context, j *job) {
 	for ctx.Err() == nil {
 		select {
-		case <-j.wake:
+		case <-j.commitWake:
 		case <-ctx.Done():
 			return
 		}
 		r.awaitDue(ctx, j)
-		for ctx.Err() == nil && r.commitOnce(ctx, j) {
+		for ctx.Err() == nil && r.commitPending(ctx, j) {
 		}
 		if j.stored.Sealed {
-			r.noteSealed(ctx, j)
+			r.markSealed(ctx, j)
 			return
 		}
 		pause.For(ctx, commitInterval)
 	}
 }
 
-// awaitDue waits until what is pending is to be kept.
+// awaitDue waits until pending results are due to be stored.
 func (r *Runner) awaitDue(ctx context.Context, j *job) {
 	for ctx.Err() == nil {
 		r.mu.Lock()
@@ -52,7 +52,7 @@
 		}
 		timer := time.NewTimer(rest)
 		select {
-		case <-j.wake:
+		case <-j.commitWake:
 		case <-timer.C:
 		case <-ctx.Done():
 		}
@@ -60,26 +60,26 @@
 	}
 }
 
-// untilDue returns how long what is pending may still wait for more. The runner's mutex must be held.
+// untilDue returns how much longer pending results may wait for others. The runner's mutex must be held.
 func (j *job) untilDue(now time.Time) time.Duration {
 	if j.ended || j.groupPending || len(j.pending) == 0 {
 		return 0
 	}
-	return listingDelay - now.Sub(j.pendingSince)
+	return maxBatchDelay - now.Sub(j.pendingSince)
 }
 
-// addPending hands a result to the committer; groupWhole is true if its group lacks no other. The runner's mutex must be held.
-func (j *job) addPending(result batch.Result, groupWhole bool, now time.Time) {
+// addPending passes a result to the committer. groupComplete is true if it was the last of its group. The runner's mutex must be held.
+func (j *job) addPending(result batch.Result, groupComplete bool, now time.Time) {
 	if len(j.pending) == 0 {
 		j.pendingSince = now
 	}
 	j.pending = append(j.pending, result)
-	j.groupPending = j.groupPending || groupWhole
-	j.signal()
+	j.groupPending = j.groupPending || groupComplete
+	j.wakeCommitter()
 }
 
-// commitOnce keeps what is pending, with the end of the job if that was asked for. It reports whether there is more to do.
-func (r *Runner) commitOnce(ctx context.Context, j *job) (more bool) {
+// commitPending stores pending results, and the end of the job if it was requested. It reports whether more work is left.
+func (r *Runner) commitPending(ctx context.Context, j *job) (more bool) {
 	r.mu.Lock()
 	pending := j.pending
 	ended := j.ended
@@ -92,15 +92,15 @@
 	appended, err := j.stored.Append(ctx, pending, ended)
 	switch {
 	case errors.Is(err, batchlog.ErrFenced):
-		level.Warn(r.Logger).Log("msg", "results are another process's to write", "request", j.ID)
-		r.depose()
+		level.Warn(r.Logger).Log("msg", "results not written: job log is fenced by a later term", "request", j.ID)
+		r.endTerm()
 		return false
 	case errors.Is(err, batchlog.ErrSealed):
 		appended = len(pending)
 	case err != nil:
-		// What is pending is tried again without a wait for more.
+		// The retry does not wait for further results.
 		level.Warn(r.Logger).Log("msg", "results not kept", "request", j.ID, "err", err)
-		pause.For(ctx, commitPause)
+		pause.For(ctx, commitRetryDelay)
 		return true
 	}
 	r.mu.Lock()
@@ -116,12 +116,12 @@
 	return !j.sealed && (len(j.pending) > 0 || j.ended)
 }
 
-// noteSealed tells later terms that they need not read the job.
-func (r *Runner) noteSealed(ctx context.Context, j *job) {
+// markSealed marks the job in the store, so that later terms need not read it.
+func (r *Runner) markSealed(ctx context.Context, j *job) {
 	r.mu.Lock()
-	r.noteEnd(j)
+	r.recordEnd(j)
 	r.mu.Unlock()
 	if err := j.stored.MarkSealed(ctx); err != nil {
-		level.Info(r.Logger).Log("msg", "sealed job not marked", "request", j.ID, "err", err)
+		level.Info(r.Logger).Log("msg", "cannot mark job as sealed in store", "request", j.ID, "err", err)
 	}
 }
--- a/internal/batchrun/demand.go
+++ b/internal/batchrun/demand.go
@@ -7,28 +7,28 @@
 	"github.com/covelink/covelink/internal/weightorder"
 )
 
-// demandLife is the time in which the sum of the submitted items falls to a part of 1/e.
-const demandLife = 20 * time.Second
+// demandDecay is the time constant of the exponentially decayed sum of submitted items.
+const demandDecay = 20 * time.Second
 
-// noteSubmitted counts the items of a job. The mutex must be held.
-func (r *Runner) noteSubmitted(j *job) {
+// addSubmitted adds the items of a job to the decayed sum. The mutex must be held.
+func (r *Runner) addSubmitted(j *job) {
 	now := r.now()
-	r.submitted[j.Model] = decay.Of(r.submitted[j.Model].At(now, demandLife)+float64(len(j.items)), now)
+	r.submitted[j.Model] = decay.Of(r.submitted[j.Model].At(now, demandDecay)+float64(len(j.items)), now)
 }
 
-// Demands returns the work for each model.
+// Demands returns the demand for each model.
 func (r *Runner) Demands() map[string]weightorder.Demand {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.demands()
 }
 
-// demands is Demands. The mutex must be held.
+// demands implements Demands. The mutex must be held.
 func (r *Runner) demands() map[string]weightorder.Demand {
 	now := r.now()
 	demands := make(map[string]weightorder.Demand, len(r.submitted))
 	for model, sum := range r.submitted {
-		demands[model] = weightorder.Demand{Items: sum.At(now, demandLife)}
+		demands[model] = weightorder.Demand{Items: sum.At(now, demandDecay)}
 	}
 	for _, j := range r.order {
 		if j.ended {
@@ -49,7 +49,8 @@
 	return demands
 }
 
-// OpenItems returns how many items of jobs that have not ended have no result yet; zero while this process does not lead. It goes through all items.
+// OpenItems returns the number of items without a result in jobs that have not ended, or zero while this process does not lead. Its cost is
+// linear in the number of items.
 func (r *Runner) OpenItems() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/batchrun/detached.go
+++ b/internal/batchrun/detached.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	// maxDetached bounds the runs that go on after the end of their jobs, so that work nobody may want keeps few places.
+	// maxDetached bounds the detached runs, so that work which may be unwanted takes few slots.
 	maxDetached = 512
-	// detachedLife is how long they go on: a trainer asks for its next job within some seconds, and a text takes up to eight.
-	detachedLife = 6 * time.Second
+	// detachedTTL is how long a detached run may continue until a later job attaches it.
+	detachedTTL = 6 * time.Second
 )
 
-// detach lets the run of an item go on after the end of its job, without a reward call, if the job in which the item is expected
-// to come again may use the text. It reports whether it does. The mutex must be held.
+// detach lets the run of an item continue after the end of its job, without a reward call, if the job into which the item is expected to be
+// carried over may use the text. It reports whether the run continues. The mutex must be held.
 func (r *Runner) detach(it *item) bool {
-	if it.phase != phaseRunning || it.run.moving || it.text.Len() <= it.run.resumed || len(r.detached) >= maxDetached {
+	if it.phase != phaseRunning || it.run.moving || it.text.Len() <= it.run.initialEvents || len(r.detached) >= maxDetached {
 		return false
 	}
-	bounds := itemwork.Bounds{MinVersion: r.returnVersion(it.job), SingleVersion: r.singleVersion(it)}
+	bounds := itemwork.Bounds{MinVersion: r.carryOverVersion(it.job), SingleVersion: r.singleVersion(it)}
 	if !it.text.Fits(bounds) {
 		return false
 	}
@@ -31,29 +31,29 @@
 	detached.release()
 	detached.released = true
 	it.job.runs = slices.DeleteFunc(it.job.runs, func(id itemwork.RunID) bool { return id == detached.id })
-	r.detached[it.textName()] = detached
+	r.detached[it.textKey()] = detached
 	r.Observer.HandedOver(HandOverDetached)
-	level.Debug(r.Logger).Log("msg", "run goes on after the end of its job", "request", it.ID, "job", it.job.ID, "run", detached.id,
+	level.Debug(r.Logger).Log("msg", "run detached at the end of its job", "request", it.ID, "job", it.job.ID, "run", detached.id,
 		"engine", detached.engine, "text_events", it.text.Len())
 	return true
 }
 
-// isDetached reports whether a run goes on after the end of its job.
-func (r *Runner) isDetached(known *run) bool { return r.detached[known.item.textName()] == known }
+// isDetached reports whether a run continues after the end of its job.
+func (r *Runner) isDetached(known *run) bool { return r.detached[known.item.textKey()] == known }
 
-// attach makes a run that went on after the end of its job that of an item which has come again in another, or ends
-// it if that job may not use the text. The mutex must be held.
+// attach assigns a detached run to an item carried over into a later job, or cancels the run if that job may not use its text. The mutex
+// must be held.
 func (r *Runner) attach(detached *run, it *item) {
-	delete(r.detached, it.textName())
+	delete(r.detached, it.textKey())
 	text := detached.item.text
 	if !text.Fits(itemwork.Bounds{MinVersion: it.job.MinVersion, SingleVersion: r.singleVersion(it)}) {
-		// The ended job forgets the run once its stream has ended.
+		// The ended job drops the run once its stream has ended.
 		ended := detached.item.job
 		ended.runs = append(ended.runs, detached.id)
 		detached.cancel()
 		return
 	}
-	level.Debug(r.Logger).Log("msg", "run belongs to a later job", "request", it.ID, "job", it.job.ID, "before", detached.item.job.ID, "run", detached.id,
+	level.Debug(r.Logger).Log("msg", "detached run attached to a later job", "request", it.ID, "job", it.job.ID, "before", detached.item.job.ID, "run", detached.id,
 		"text_events", text.Len())
 	r.Observer.HandedOver(HandOverAttached)
 	it.text = text
@@ -62,37 +62,37 @@
 	it.job.runs = append(it.job.runs, detached.id)
 }
 
-// settle keeps the text of a detached run that has ended. The mutex must be held.
-func (r *Runner) settle(ended *run) {
-	delete(r.detached, ended.item.textName())
+// endDetached keeps the text of a detached run that has ended. The mutex must be held.
+func (r *Runner) endDetached(ended *run) {
+	delete(r.detached, ended.item.textKey())
 	delete(r.runs, ended.id)
-	r.keep(ended.item)
+	r.keepText(ended.item)
 }
 
-// endDetached ends the detached runs whose items have not come again in time. The mutex must be held.
-func (r *Runner) endDetached() {
+// expireDetached cancels the detached runs that no later job has attached within detachedTTL. The mutex must be held.
+func (r *Runner) expireDetached() {
 	now := r.now()
 	for _, detached := range r.detached {
-		if !detached.moving && now.Sub(detached.detachedAt) > detachedLife {
+		if !detached.moving && now.Sub(detached.detachedAt) > detachedTTL {
 			detached.moving = true
 			detached.cancel()
 		}
 	}
 }
 
-// keep holds what an ended job has made of an item for a later one: a group comes again as a whole, also with items that have
-// their result, if its trainer had not read all of them.
-func (r *Runner) keep(it *item) {
+// keepText keeps an item's text for a later job. This includes items with a result: a group is carried over as a whole if its trainer has
+// not read all of its results.
+func (r *Runner) keepText(it *item) {
 	if it.text.Len() == 0 {
 		return
 	}
-	r.kept.put(unfinishedText{name: it.textName(), model: it.job.Model, text: it.text})
+	r.unfinished.put(unfinishedText{key: it.textKey(), model: it.job.Model, text: it.text})
 	it.text = itemwork.Text{}
 }
 
-// noteReturn learns from an item that has come again how much newer the weights are that its new job demands.
-func (r *Runner) noteReturn(model string, before, now int64) {
+// recordCarryOver records by how much the required weight version of a carried-over item has risen.
+func (r *Runner) recordCarryOver(model string, before, now int64) {
 	if now >= before {
-		r.returnOffsets[model] = now - before
+		r.carryOverOffsets[model] = now - before
 	}
 }
--- a/internal/batchrun/engine_record.go
+++ b/internal/batchrun/engine_record.go
@@ -9,82 +9,80 @@
 )
 
 const (
-	// assumedPause stands for the pause between two events until some were seen.
-	assumedPause = 40 * time.Millisecond
-	// pauseWeight is the share of the newest pause between events in the moving average.
-	pauseWeight = 0.12
-	// usualWeight is the least share of the newest report in the moving average over all engines: some hundred reports, about a
-	// second of a busy deployment.
-	usualWeight = 0.01
-	// maxPauseFactor bounds a pause that is taken in, relative to the average: a load is no sign of a slow engine.
-	maxPauseFactor = 4
-	// pauseLife is how long the average of an engine that makes no events is believed in full.
-	pauseLife = 3 * time.Second
-	// maxStaleFactor bounds an average that is not believed any more, relative to the usual pause: the kind of an engine lasts, and a
-	// fault does not. Kinds differ by 1.3.
+	// defaultEventInterval is the assumed interval between two events until one is observed.
+	defaultEventInterval = 40 * time.Millisecond
+	// intervalWeight is the weight of the newest event interval in an engine's moving average.
+	intervalWeight = 0.12
+	// minFleetWeight is the minimum weight of the newest report in the moving average over all engines.
+	minFleetWeight = 0.01
+	// maxIntervalFactor bounds an observed interval relative to the average, because a pause to load weights does not mean that the engine is
+	// slow.
+	maxIntervalFactor = 4
+	// intervalTTL is how long the average of an engine without events remains fully valid.
+	intervalTTL = 3 * time.Second
+	// maxStaleFactor bounds an expired average relative to the fleet's: differences in hardware persist, faults do not.
 	maxStaleFactor = 1.4
-	// toldLife is how long an engine's own word on its version goes before the list.
-	toldLife = 1500 * time.Millisecond
+	// reportedVersionTTL is how long a version reported by an engine takes precedence over the engine list.
+	reportedVersionTTL = 1500 * time.Millisecond
 	// affinityFactor is the cost of an engine that holds the item's shared prompt, relative to one that does not.
 	affinityFactor = 0.95
-	// loadFactor is how much slower a full engine is than an idle one.
-	// engines of the deployments measured so far are 6% to 26% slower when full.
+	// loadFactor is the relative slowdown of a full engine compared to an idle one.
 	loadFactor = 0.1
-	// firstBackoff and maxBackoff bound how long an engine is left aside after failures in a row.
-	firstBackoff = 100 * time.Millisecond
-	maxBackoff   = 2 * time.Second
-	// busyBackoff is how long an engine that refused is left aside; it doubles with each refusal in a row, up to maxBusyBackoff.
+	// minBackoff and maxBackoff bound the backoff of an engine after consecutive failures.
+	minBackoff = 100 * time.Millisecond
+	maxBackoff = 2 * time.Second
+	// busyBackoff is the initial backoff of an engine that refused an item. It doubles with each consecutive refusal, up to maxBusyBackoff.
 	busyBackoff    = 80 * time.Millisecond
 	maxBusyBackoff = 500 * time.Millisecond
-	// maxPrefixes bounds the shared prompts that an engine is taken to hold.
+	// maxPrefixes bounds the shared prompts recorded per engine.
 	maxPrefixes = 256
 )
 
-// engineRecord is what the runner knows of an engine beyond the list.
+// engineRecord holds the runner's own observations of an engine, in addition to the engine list.
 type engineRecord struct {
 	running int
-	// apart is how many of the running items must run apart from each other.
-	apart    int
-	asideTil time.Time
-	failures int
+	// isolated is the number of running items that must not share an engine with each other.
+	isolated     int
+	backoffUntil time.Time
+	failures     int
 	// loading is true while the engine loads weights.
 	loading bool
-	// average is the moving average of the pause between two events, and observed when it was last taken in.
-	average  time.Duration
-	observed time.Time
-	// usual is the pause over all engines.
-	usual *usualPause
-	// refusals counts the refusals in a row.
+	// averageInterval is the moving average of the interval between two events, and observedAt the time of its last update.
+	averageInterval time.Duration
+	observedAt      time.Time
+	// fleetInterval is the average over all engines.
+	fleetInterval *fleetInterval
+	// refusals counts consecutive refusals.
 	refusals int
-	// versions are weight versions that answers and reports have told, by model, and told when that was last.
-	versions map[string]int64
-	told     time.Time
-	// prefixes are the shared prompts that it was sent under its present weights.
+	// versions holds the weight versions by model that responses and reports contained, and versionsAt the time of the last one.
+	versions   map[string]int64
+	versionsAt time.Time
+	// prefixes holds the shared prompts sent to the engine under its current weights.
 	prefixes map[string]struct{}
 }
 
 func (r *Runner) engine(id string) *engineRecord {
 	record, ok := r.engines[id]
 	if !ok {
-		record = &engineRecord{versions: make(map[string]int64), prefixes: make(map[string]struct{}), usual: &r.usual}
+		record = &engineRecord{versions: make(map[string]int64), prefixes: make(map[string]struct{}), fleetInterval: &r.fleetInterval}
 		r.engines[id] = record
 	}
 	return record
 }
 
-// version returns the weight version of a model at an engine, as far as it is known. What the engine itself told lately goes
-// before the list.
+// version returns the weight version of a model at an engine, as far as known. A recently reported version takes precedence over the engine
+// list.
 func (e *engineRecord) version(engine *fleet.Engine, model string, now time.Time) int64 {
-	told, ok := e.versions[model]
-	if ok && now.Sub(e.told) < toldLife {
-		return told
+	reported, ok := e.versions[model]
+	if ok && now.Sub(e.versionsAt) < reportedVersionTTL {
+		return reported
 	}
-	return max(engine.Versions[model], told)
+	return max(engine.Versions[model], reported)
 }
 
-// noteVersion takes in the version that an answer or a report told.
-func (e *engineRecord) noteVersion(model string, version int64, now time.Time) {
-	e.told = now
+// setVersion records the version from a response or report. A changed version clears the engine's shared prompts.
+func (e *engineRecord) setVersion(model string, version int64, now time.Time) {
+	e.versionsAt = now
 	if version == e.versions[model] {
 		return
 	}
@@ -92,75 +90,76 @@
 	clear(e.prefixes)
 }
 
-// observe takes in the mean of some pauses between events.
-func (e *engineRecord) observe(pause time.Duration, count int, now time.Time) {
-	average := e.pause(now)
-	pause = min(pause, maxPauseFactor*average)
+// observeInterval updates the average with the mean of count intervals between events.
+func (e *engineRecord) observeInterval(interval time.Duration, count int, now time.Time) {
+	average := e.eventInterval(now)
+	interval = min(interval, maxIntervalFactor*average)
 	e.refusals = 0
-	weight := 1 - math.Pow(1-pauseWeight, float64(count))
-	e.average = average + time.Duration(weight*float64(pause-average))
-	e.observed = now
+	weight := 1 - math.Pow(1-intervalWeight, float64(count))
+	e.averageInterval = average + time.Duration(weight*float64(interval-average))
+	e.observedAt = now
 }
 
-// pause returns the expected pause between two events of a run.
-func (e *engineRecord) pause(now time.Time) time.Duration {
+// eventInterval returns the expected interval between two events of a run.
+func (e *engineRecord) eventInterval(now time.Time) time.Duration {
 	switch {
-	case e.average == 0:
-		return e.usual.value()
-	case now.Sub(e.observed) > pauseLife:
-		return min(e.average, time.Duration(maxStaleFactor*float64(e.usual.value())))
+	case e.averageInterval == 0:
+		return e.fleetInterval.value()
+	case now.Sub(e.observedAt) > intervalTTL:
+		return min(e.averageInterval, time.Duration(maxStaleFactor*float64(e.fleetInterval.value())))
 	}
-	return e.average
+	return e.averageInterval
 }
 
-// usualPause is the moving average of the pause between two events over all engines.
-type usualPause struct {
+// fleetInterval is the moving average of the interval between two events over all engines.
+type fleetInterval struct {
 	average time.Duration
 	count   int
 }
 
-// value returns the average; assumedPause until there is one.
-func (u *usualPause) value() time.Duration {
-	if u.count == 0 {
-		return assumedPause
+// value returns the average, or defaultEventInterval if there is none.
+func (f *fleetInterval) value() time.Duration {
+	if f.count == 0 {
+		return defaultEventInterval
 	}
-	return u.average
+	return f.average
 }
 
-// observe takes in the mean pause that a report tells.
-func (u *usualPause) observe(pause time.Duration) {
-	u.count++
-	if u.count == 1 {
-		u.average = pause
+// observe updates the average with the mean interval of a report.
+func (f *fleetInterval) observe(interval time.Duration) {
+	f.count++
+	if f.count == 1 {
+		f.average = interval
 		return
 	}
-	pause = min(pause, maxPauseFactor*u.average)
-	u.average += time.Duration(max(1/float64(u.count), usualWeight) * float64(pause-u.average))
+	interval = min(interval, maxIntervalFactor*f.average)
+	f.average += time.Duration(max(1/float64(f.count), minFleetWeight) * float64(interval-f.average))
 }
 
-// cost is the expected pause between events of one more item, in seconds, less what a kept prompt saves.
+// cost returns the expected event interval of one more item in seconds, reduced if the engine holds the shared prompt and multiplied for
+// recent refusals.
 func (e *engineRecord) cost(slots int, prefix string, now time.Time) float64 {
-	cost := e.pause(now).Seconds() * (1 + loadFactor*float64(e.running)/float64(slots))
+	cost := e.eventInterval(now).Seconds() * (1 + loadFactor*float64(e.running)/float64(slots))
 	if _, held := e.prefixes[prefix]; held && prefix != "" {
 		cost *= affinityFactor
 	}
 	return cost * float64(1+e.refusals)
 }
 
-// end takes in the end of an attempt at the engine.
-func (e *engineRecord) end(result itemwork.Verdict, now time.Time) {
+// attemptEnded updates the slots, failures and backoff after a run at the engine has ended.
+func (e *engineRecord) attemptEnded(result itemwork.Verdict, now time.Time) {
 	e.running--
 	switch result {
 	case itemwork.VerdictWhole, itemwork.VerdictImpossible:
 		e.failures, e.refusals = 0, 0
 	case itemwork.VerdictBroken, itemwork.VerdictFailed:
 		e.failures++
-		e.asideTil = now.Add(min(firstBackoff<<min(e.failures, 5), maxBackoff))
+		e.backoffUntil = now.Add(min(minBackoff<<min(e.failures, 5), maxBackoff))
 	case itemwork.VerdictRefused, itemwork.VerdictOutdated:
-		e.asideTil = now.Add(min(busyBackoff<<min(e.refusals, 5), maxBusyBackoff))
+		e.backoffUntil = now.Add(min(busyBackoff<<min(e.refusals, 5), maxBusyBackoff))
 		e.refusals++
 	case itemwork.VerdictGone:
-		e.asideTil = now.Add(maxBackoff)
+		e.backoffUntil = now.Add(maxBackoff)
 	case itemwork.VerdictCanceled:
 	}
 }
--- a/internal/batchrun/step.go
+++ b/internal/batchrun/groups.go
@@ -8,14 +8,14 @@
 	"github.com/go-kit/log/level"
 )
 
-// itemGroup are the items of a job that share a prompt. A trainer uses a group once the results of all its items are listed.
+// itemGroup holds the items of a job that share a prompt. A trainer uses a group once the results of all its items are listed.
 type itemGroup struct {
 	items []*item
-	// renewed is true once items of the group were begun anew for the job in which they will come again.
+	// renewed is true once items of the group were restarted for the later job into which they will be carried over.
 	renewed bool
 	// spare is true while the trainer is not expected to wait for the group.
 	spare bool
-	// timeLeft is how long the last of its items is expected to take from now on.
+	// timeLeft is the expected remaining time of the group's last item.
 	timeLeft time.Duration
 }
 
@@ -24,21 +24,22 @@
 	return !slices.ContainsFunc(g.items, func(it *item) bool { return it.phase != phaseFinished })
 }
 
-// carried reports whether the group comes again from an earlier job: its trainer waits for it in any case.
-func (g *itemGroup) carried() bool {
-	return slices.ContainsFunc(g.items, func(it *item) bool { return it.carried })
+// carriedOver reports whether the group was carried over from an earlier job. Its trainer waits for it in any case.
+func (g *itemGroup) carriedOver() bool {
+	return slices.ContainsFunc(g.items, func(it *item) bool { return it.carriedOver })
 }
 
-// assumeCarried takes the groups for carried that may be: they stand first, and are at most half of those that the trainer wants.
-func (j *job) assumeCarried() {
+// assumeCarriedOver marks the groups that may have been carried over: they come first, and are at most half of the groups that the trainer
+// wants.
+func (j *job) assumeCarriedOver() {
 	for _, group := range j.groups[:min((j.Desired+1)/2, len(j.groups))] {
 		for _, it := range group.items {
-			it.carried = true
+			it.carriedOver = true
 		}
 	}
 }
 
-// newGroups divides items by their group; an item that names none is a group of its own.
+// newGroups divides items by their group. An item without a group forms its own.
 func newGroups(items []*item) []*itemGroup {
 	var groups []*itemGroup
 	byName := make(map[string]*itemGroup)
@@ -55,32 +56,33 @@
 	return groups
 }
 
-// groupOutlook is what decides whether a trainer is expected to wait for a group.
-type groupOutlook struct {
+// groupForecast holds what decides whether a trainer is expected to wait for a group.
+type groupForecast struct {
 	finished bool
-	// required groups are waited for in any case, renewed ones are whole too late for this job.
+	// required is true for groups that the trainer waits for in any case, renewed for groups that were restarted and complete too late for
+	// this job.
 	required, renewed bool
 	timeLeft          time.Duration
 }
 
-// spareGroups returns which of a job's groups its trainer is not expected to wait for, as it wants only so many: those that take
-// longest. It also returns the longest time that a group takes which is waited for.
-func spareGroups(outlooks []groupOutlook, desired int) (spare []bool, longest time.Duration) {
-	spare = make([]bool, len(outlooks))
+// spareGroups returns which of a job's groups its trainer is not expected to wait for: those that take longest beyond the desired number.
+// It also returns the remaining time of the longest group that is waited for.
+func spareGroups(forecasts []groupForecast, desired int) (spare []bool, longest time.Duration) {
+	spare = make([]bool, len(forecasts))
 	unfinished := 0
 	var optional []int
-	for i, outlook := range outlooks {
-		if outlook.finished {
+	for i, forecast := range forecasts {
+		if forecast.finished {
 			desired--
 			continue
 		}
 		unfinished++
-		if !outlook.required {
+		if !forecast.required {
 			optional = append(optional, i)
 		}
 	}
 	slices.SortStableFunc(optional, func(a, b int) int {
-		x, y := outlooks[a], outlooks[b]
+		x, y := forecasts[a], forecasts[b]
 		if x.renewed != y.renewed {
 			if x.renewed {
 				return -1
@@ -92,25 +94,25 @@
 	for _, i := range optional[:min(max(unfinished-max(desired, 0), 0), len(optional))] {
 		spare[i] = true
 	}
-	for i, outlook := range outlooks {
-		if !outlook.finished && !spare[i] {
-			longest = max(longest, outlook.timeLeft)
+	for i, forecast := range forecasts {
+		if !forecast.finished && !spare[i] {
+			longest = max(longest, forecast.timeLeft)
 		}
 	}
 	return spare, longest
 }
 
-// outlook updates what is expected of a job's groups. The mutex must be held.
-func (r *Runner) outlook(j *job) {
-	outlooks := make([]groupOutlook, 0, len(j.groups))
+// updateForecast updates the expected times and spare groups of a job. The mutex must be held.
+func (r *Runner) updateForecast(j *job) {
+	forecasts := make([]groupForecast, 0, len(j.groups))
 	for _, group := range j.groups {
 		group.timeLeft = 0
 		for _, it := range group.items {
 			group.timeLeft = max(group.timeLeft, r.timeLeft(it))
 		}
-		outlooks = append(outlooks, groupOutlook{
+		forecasts = append(forecasts, groupForecast{
 			finished: group.finished(),
-			required: group.carried(),
+			required: group.carriedOver(),
 			renewed:  group.renewed,
 			timeLeft: group.timeLeft,
 		})
@@ -120,19 +122,19 @@
 		desired = len(j.groups)
 	}
 	var spare []bool
-	spare, j.longest = spareGroups(outlooks, desired)
+	spare, j.longest = spareGroups(forecasts, desired)
 	for i, group := range j.groups {
 		group.spare = spare[i]
 	}
 }
 
-// logEnd tells how far a job had come when its end was asked for. The mutex must be held.
-func (r *Runner) logEnd(j *job) {
-	whole, spare, renewed, cameAgain, unfinished := 0, 0, 0, 0, 0
+// logProgress logs how far a job had come when its end was requested. The mutex must be held.
+func (r *Runner) logProgress(j *job) {
+	complete, spare, renewed, carriedOver, unfinished := 0, 0, 0, 0, 0
 	for _, group := range j.groups {
 		switch {
 		case group.finished():
-			whole++
+			complete++
 		case group.renewed:
 			renewed++
 		case group.spare:
@@ -140,26 +142,25 @@
 		default:
 			unfinished++
 		}
-		if group.carried() {
-			cameAgain++
+		if group.carriedOver() {
+			carriedOver++
 		}
 	}
 	after := r.now().Sub(j.accepted)
 	r.Observer.JobEnded(after)
 	level.Info(r.Logger).Log("msg", "job ends", "request", j.ID, "step", j.Step, "after", after.Round(time.Millisecond),
-		"desired", j.Desired, "groups", len(j.groups), "came_again", cameAgain, "whole", whole, "dead_items", j.dead, "spare", spare,
+		"desired", j.Desired, "groups", len(j.groups), "came_again", carriedOver, "whole", complete, "dead_items", j.dead, "spare", spare,
 		"renewed", renewed, "unfinished", unfinished)
 }
 
-// timeLeft returns how long the rest of an item's text is expected to take, at its engine or at one of the usual pace. The mutex
-// must be held.
+// timeLeft returns the expected remaining time of an item's text, at its engine or at the fleet's average interval. The mutex must be held.
 func (r *Runner) timeLeft(it *item) time.Duration {
-	pause := r.usual.value()
+	interval := r.fleetInterval.value()
 	switch it.phase {
-	case phaseFinished, phaseJudging:
+	case phaseFinished, phaseScoring:
 		return 0
 	case phaseRunning:
-		pause = r.engine(it.run.engine).pause(r.now())
+		interval = r.engine(it.run.engine).eventInterval(r.now())
 	}
-	return time.Duration(r.lengths.remaining(it.ExpectedLength, it.text.Len()) * float64(pause))
+	return time.Duration(r.lengths.remaining(it.ExpectedLength, it.text.Len()) * float64(interval))
 }
--- a/internal/batchrun/kit_test.go
+++ b/internal/batchrun/harness_test.go
@@ -28,25 +28,25 @@
 	model = "model-a"
 )
 
-// behaviour is how an engine of the test executes requests.
-type behaviour struct {
-	// pause between two events.
+// engineBehavior configures how a fake engine executes requests.
+type engineBehavior struct {
+	// pause is the delay before each event.
 	pause time.Duration
-	// version of the weights; zero means 1.
+	// version is the weight version; zero means 1.
 	version int64
-	// status, if set, answers instead of a stream.
+	// status, if set, is returned instead of a stream.
 	status int
 	notRun bool
-	// breakAfter breaks each stream off after so many events; zero never.
+	// breakAfter breaks each stream off after this many events; zero disables it.
 	breakAfter int
-	// silent makes no event and keeps the connection open.
+	// silent keeps the connection open without events.
 	silent bool
-	// hangs makes a judge answer nothing until it is cut off.
+	// hangs makes a judge not respond until it is canceled.
 	hangs bool
 }
 
-// run is one execution.
-type run struct {
+// execution is one request executed by a fake engine.
+type execution struct {
 	engine, id string
 	resumed    bool
 	from       int64
@@ -54,25 +54,25 @@
 	ended      time.Time
 }
 
-// engines executes requests in memory.
-type engines struct {
+// fakeEngines executes requests in memory. It implements forward.Transport.
+type fakeEngines struct {
 	mu         sync.Mutex
-	behaviours map[string]behaviour
-	runs       []*run
+	behaviours map[string]engineBehavior
+	executions []*execution
 	events     int
 }
 
-func (e *engines) set(id string, b behaviour) {
+func (e *fakeEngines) setBehavior(id string, b engineBehavior) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.behaviours[id] = b
 }
 
-func (e *engines) of(id string) []run {
+func (e *fakeEngines) executionsOf(id string) []execution {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	var found []run
-	for _, r := range e.runs {
+	var found []execution
+	for _, r := range e.executions {
 		if r.id == id {
 			found = append(found, *r)
 		}
@@ -80,19 +80,19 @@
 	return found
 }
 
-func (e *engines) count() int {
+func (e *fakeEngines) count() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return len(e.runs)
+	return len(e.executions)
 }
 
 // Send implements forward.Transport.
-func (e *engines) Send(ctx context.Context, engine *fleet.Engine, request *forward.Request, options forward.SendOptions) (*forward.Answer, error) {
+func (e *fakeEngines) Send(ctx context.Context, engine *fleet.Engine, request *forward.Request, options forward.SendOptions) (*forward.Answer, error) {
 	e.mu.Lock()
 	b := e.behaviours[engine.ID]
-	r := &run{engine: engine.ID, id: request.ID, resumed: options.Resume, from: options.LastEventID, at: time.Now()}
+	r := &execution{engine: engine.ID, id: request.ID, resumed: options.Resume, from: options.LastEventID, at: time.Now()}
 	if !b.notRun {
-		e.runs = append(e.runs, r)
+		e.executions = append(e.executions, r)
 	}
 	e.mu.Unlock()
 	version := max(b.version, 1)
@@ -125,7 +125,7 @@
 	return answer, nil
 }
 
-func (e *engines) stream(ctx context.Context, writer *io.PipeWriter, b behaviour, after int64) error {
+func (e *fakeEngines) stream(ctx context.Context, writer *io.PipeWriter, b engineBehavior, after int64) error {
 	made := 0
 	for number := after + 1; number <= int64(e.events); number++ {
 		pause := b.pause
@@ -148,60 +148,57 @@
 	return io.EOF
 }
 
-// world is a runner with two samplers and a judge.
-type world struct {
-	engines *engines
-	store   *metastoretest.Store
-	state   *fleet.State
-	runner  *batchrun.Runner
-	stop    func()
-	// maxEndedBytes is that of the runners.
+// harness is a runner with two fake engines and a judge. Its configuration fields apply to runners started afterwards.
+type harness struct {
+	engines       *fakeEngines
+	store         *metastoretest.Store
+	state         *fleet.State
+	runner        *batchrun.Runner
+	stop          func()
 	maxEndedBytes int
-	// desk is that of the runners; nil if they carry out all runs themselves.
-	desk *itemwork.Desk
-	// evacuateTime is that of the runners.
+	// desk is nil if the runners execute all runs themselves.
+	desk         *itemwork.Desk
 	evacuateTime time.Duration
-	// textFolder is where the runners keep unfinished texts; empty for nowhere.
+	// textFolder is the checkpoint directory; empty disables checkpoints.
 	textFolder string
-	// zone is that of the runners.
-	zone string
-	// quota is that of the runners; nil if no engine is cold.
+	zone       string
+	// quota is nil if no engine is cold.
 	quota batchrun.Quota
 }
 
-func newWorld(route routing.Route) *world {
-	w := &world{engines: &engines{behaviours: make(map[string]behaviour), events: 20}, store: metastoretest.New(), state: fleet.NewState()}
+func newHarness(route routing.Route) *harness {
+	h := &harness{engines: &fakeEngines{behaviours: make(map[string]engineBehavior), events: 20}, store: metastoretest.New(), state: fleet.NewState()}
 	route.Host, route.Prefix, route.Kind = host, "/rollout/", routing.KindBatch
 	route.Targets = []routing.Target{{Service: "pool", Weight: 1}}
 	route.MaxAttempts, route.MaxQueue, route.ResultDeadline = 3, time.Minute, 8*time.Second
 	judge := routing.Route{Host: host, Prefix: "/judge/", Kind: routing.KindIdempotent, Targets: []routing.Target{{Service: "judges", Weight: 1}}, MaxAttempts: 2}
-	w.state.SetRoutes(routing.NewTable(1, []routing.Route{route, judge}, []routing.Service{{Name: "pool"}, {Name: "judges"}}, routing.Limits{}))
-	w.state.SetEngineList([]*fleet.Engine{
+	h.state.SetRoutes(routing.NewTable(1, []routing.Route{route, judge}, []routing.Service{{Name: "pool"}, {Name: "judges"}}, routing.Limits{}))
+	h.state.SetEngineList([]*fleet.Engine{
 		{ID: "a", Service: "pool", Slots: 8, Ready: true, Versions: map[string]int64{model: 1}},
 		{ID: "b", Service: "pool", Slots: 8, Ready: true, Versions: map[string]int64{model: 1}},
 		{ID: "j", Service: "judges", Slots: 8, Ready: true},
 	})
 	for _, id := range []string{"a", "b"} {
-		w.engines.set(id, behaviour{pause: 20 * time.Millisecond})
+		h.engines.setBehavior(id, engineBehavior{pause: 20 * time.Millisecond})
 	}
-	w.runner, w.stop = w.lead(1)
-	return w
+	h.runner, h.stop = h.startTerm(1)
+	return h
 }
 
-// lead starts a runner with a term of its own.
-func (w *world) lead(token int64) (*batchrun.Runner, func()) {
-	forwarder := forward.New(w.state, w.engines, forward.NewPicker(time.Now), log.NewNopLogger())
+// startTerm starts a runner that leads with the given token.
+func (h *harness) startTerm(token int64) (*batchrun.Runner, func()) {
+	forwarder := forward.New(h.state, h.engines, forward.NewPicker(time.Now), log.NewNopLogger())
 	runner := batchrun.New(batchrun.Params{
-		State:         w.state,
-		Transport:     w.engines,
+		State:         h.state,
+		Transport:     h.engines,
 		Forwarder:     forwarder,
-		Store:         w.store.Client(),
-		MaxEndedBytes: w.maxEndedBytes,
-		Desk:          w.desk,
-		Zone:          w.zone,
-		Quota:         w.quota,
-		TextFolder:    w.textFolder,
-		EvacuateTime:  w.evacuateTime,
+		Store:         h.store.Client(),
+		MaxEndedBytes: h.maxEndedBytes,
+		Desk:          h.desk,
+		Zone:          h.zone,
+		Quota:         h.quota,
+		TextFolder:    h.textFolder,
+		EvacuateTime:  h.evacuateTime,
 		TextLimit:     1 << 20,
 		Logger:        log.NewNopLogger(),
 	})
@@ -234,32 +231,32 @@
 	return job
 }
 
-// results reads all results that come within the time.
-func (w *world) results(id string, within time.Duration) []batch.Result {
+// results waits for the given time and returns all results listed by then.
+func (h *harness) results(id string, within time.Duration) []batch.Result {
 	time.Sleep(within)
-	reading, err := w.runner.Read(context.Background(), batch.Ref{ID: id}, 0, 0)
+	reading, err := h.runner.Read(context.Background(), batch.Ref{ID: id}, 0, 0)
 	So(err, ShouldBeNil)
 	return reading.Results
 }
 
-func (w *world) wholeText() string {
-	events := make([]string, w.engines.events)
+func (h *harness) completeText() string {
+	events := make([]string, h.engines.events)
 	for i := range events {
 		events[i] = fmt.Sprintf("e%d", i+1)
 	}
 	return strings.Join(events, "\n")
 }
 
-func play(t *testing.T, name string, scene func(w *world)) {
+func runScenario(t *testing.T, name string, scenario func(h *harness)) {
 	t.Helper()
-	playRoute(t, name, routing.Route{}, scene)
+	runScenarioWithRoute(t, name, routing.Route{}, scenario)
 }
 
-func playRoute(t *testing.T, name string, route routing.Route, scene func(w *world)) {
+func runScenarioWithRoute(t *testing.T, name string, route routing.Route, scenario func(h *harness)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(route)
-		defer func() { w.stop() }()
-		Convey(name, t, func() { scene(w) })
+		h := newHarness(route)
+		defer func() { h.stop() }()
+		Convey(name, t, func() { scenario(h) })
 	})
 }
--- a/internal/batchrun/job.go
+++ b/internal/batchrun/job.go
@@ -10,108 +10,109 @@
 	"github.com/covelink/covelink/internal/quarantine"
 )
 
-// phase is where an item stands.
+// phase is the state of an item.
 type phase int
 
 const (
-	// waiting for an engine.
+	// phaseWaiting means that the item waits for an engine.
 	phaseWaiting phase = iota
-	// running at an engine.
+	// phaseRunning means that the item runs at an engine.
 	phaseRunning
-	// judging: the text is whole, the reward call is under way.
-	phaseJudging
-	// finished: the result is listed or about to be.
+	// phaseScoring means that the text is complete and the reward call is in progress.
+	phaseScoring
+	// phaseFinished means that the result is listed or pending.
 	phaseFinished
 )
 
-// item is one request of a job while the job is open.
+// item is one request of an open job.
 type item struct {
 	batch.Item
 	job   *job
 	group *itemGroup
 	phase phase
 	text  itemwork.Text
-	// failures counts the engines' answers of 500.
+	// failures counts responses with status 500 from engines.
 	failures int
-	// carried is true if an earlier job held the item too.
-	carried bool
-	// notBefore is when the next attempt may begin.
+	// carriedOver is true if an earlier job had the item too.
+	carriedOver bool
+	// notBefore is the earliest start of the next run.
 	notBefore time.Time
-	// moves is how often the item was moved off a slower engine.
+	// moves counts the moves to faster engines.
 	moves int
-	// checkpointed is the number of events that the disk holds, and checkpointedWhole is true if it holds that they are all.
+	// checkpointed is the number of events in the checkpoint on disk. checkpointedWhole is true if the checkpoint marks the text as
+	// complete.
 	checkpointed      int
 	checkpointedWhole bool
-	// renewing is true while the item's run is ended so that it begins anew.
+	// renewing is true while the item's run is being canceled to restart the item from scratch.
 	renewing bool
-	// preferVersion is the oldest weight version that the next run had better be made by, and preferUntil how long it waits for it.
+	// preferVersion is the oldest weight version preferred for the next run, until preferUntil.
 	preferVersion int64
 	preferUntil   time.Time
-	// run is the newest run; nil if there was none.
+	// run is the newest run, or nil.
 	run *run
-	// identity is the fingerprint of the item's request; nil until it is needed.
-	identity *quarantine.Fingerprint
-	// trial is how far the item's trial has come, if it is held.
+	// cachedFingerprint is the fingerprint of the item's request, or nil until it is first needed.
+	cachedFingerprint *quarantine.Fingerprint
+	// trial is the state of the item's trial run while quarantine holds the item.
 	trial trial
 }
 
-// textName is the name under which what was made of the item is kept for a later job, in memory and on disk: an item that comes again
-// has its ID and its tenant, and nobody else gets its text.
-func (it *item) textName() string { return it.job.Tenant + textNameSeparator + it.ID }
+// textKey returns the key of the item's text for later jobs, in memory and on disk. It includes the tenant, so that no tenant gets
+// another's text.
+func (it *item) textKey() string { return it.job.Tenant + textKeySeparator + it.ID }
 
-// textNameSeparator occurs in no name of a tenant, as it may stand in no header.
-const textNameSeparator = "\x00"
+// textKeySeparator cannot occur in a tenant name, because headers cannot contain it.
+const textKeySeparator = "\x00"
 
 // job is a batch job that this process runs. The runner's mutex guards it, unless a field says otherwise.
 type job struct {
 	batch.Job
-	// total is the number of the job's items. A job that had ended when this process learnt of it has none in items.
+	// total is the number of the job's items. items is empty for a job that had ended before this process loaded it.
 	total  int
 	items  []*item
 	groups []*itemGroup
 	byID   map[string]*item
-	// dead is the number of items that were given up.
+	// dead counts the items that were given up.
 	dead int
-	// longest is how long the longest group is expected to take that the trainer waits for, when the scheduler looked last.
+	// longest is the expected remaining time of the longest group that the trainer waits for, as of the last scheduling pass.
 	longest time.Duration
-	// accepted is when this process began to run the job.
+	// accepted is when this process started to run the job.
 	accepted time.Time
-	// runs are those of the job's items.
+	// runs holds the IDs of the runs of the job's items.
 	runs []itemwork.RunID
-	// noWorkerLogged is true once a line was logged that no worker is in an allowed region: one line a job is enough.
+	// noWorkerLogged limits the log line about missing workers in allowed regions to one per job.
 	noWorkerLogged bool
-	// ended is true once the end was asked for, and sealed once it is kept for good.
+	// ended is true once the end was requested, and sealed once the end is durable.
 	ended  bool
 	sealed bool
-	// listed are the results that are kept for good, by position.
+	// listed holds the durable results, by position.
 	listed []batch.Result
-	// furthestRead is the position up to which results were handed out, and newestRead where the reading began that went there.
+	// furthestRead is the highest position up to which results were returned, and newestRead the start of the read that reached it.
 	furthestRead, newestRead int
-	// pending are results that are not yet kept, pendingSince is when the first of them came, and groupPending is true if one of them
-	// makes a group whole.
+	// pending holds results that are not durable yet, pendingSince is when the first of them was added, and groupPending is true if one of
+	// them completes a group.
 	pending      []batch.Result
 	pendingSince time.Time
 	groupPending bool
-	// changed is closed when there are more results.
+	// changed is closed when the listed results or the sealed state change.
 	changed chan struct{}
-	// wake tells the committer of pending results or of the end.
-	wake chan struct{}
+	// commitWake signals pending results or the end of the job to the committer.
+	commitWake chan struct{}
 	// stored belongs to the committer.
 	stored *batchlog.Stored
 }
 
 func newJob(stored *batchlog.Stored, now time.Time) *job {
 	j := &job{
-		Job:      stored.Job,
-		total:    stored.ItemCount,
-		byID:     make(map[string]*item, len(stored.Job.Items)),
-		accepted: now,
-		ended:    stored.Sealed,
-		sealed:   stored.Sealed,
-		listed:   slices.Clone(stored.Results),
-		changed:  make(chan struct{}),
-		wake:     make(chan struct{}, 1),
-		stored:   stored,
+		Job:        stored.Job,
+		total:      stored.ItemCount,
+		byID:       make(map[string]*item, len(stored.Job.Items)),
+		accepted:   now,
+		ended:      stored.Sealed,
+		sealed:     stored.Sealed,
+		listed:     slices.Clone(stored.Results),
+		changed:    make(chan struct{}),
+		commitWake: make(chan struct{}, 1),
+		stored:     stored,
 	}
 	for i := range stored.Job.Items {
 		it := &item{Item: stored.Job.Items[i], job: j}
@@ -124,7 +125,7 @@
 			it.finish()
 		}
 	}
-	// Each item holds its own part.
+	// The items are held in j.items; release the stored copies.
 	j.Job.Items, stored.Job.Items = nil, nil
 	if j.sealed {
 		j.dropBodies()
@@ -132,22 +133,22 @@
 	return j
 }
 
-// dropBodies lets go of what the items of an ended job were made from.
+// dropBodies releases the requests of an ended job's items.
 func (j *job) dropBodies() {
 	for _, it := range j.items {
 		it.Item = batch.Item{ID: it.ID}
 	}
 }
 
-// signal tells the committer that there is something to do.
-func (j *job) signal() {
+// wakeCommitter signals pending work to the committer.
+func (j *job) wakeCommitter() {
 	select {
-	case j.wake <- struct{}{}:
+	case j.commitWake <- struct{}{}:
 	default:
 	}
 }
 
-// publish shows the results that are kept for good, and whether the job's end is.
+// publish makes durable results, and the end of the job if sealed, visible to readers.
 func (j *job) publish(results []batch.Result, sealed bool) {
 	for _, result := range results[len(j.listed):] {
 		j.listed = append(j.listed, result)
@@ -163,13 +164,13 @@
 	j.changed = make(chan struct{})
 }
 
-// finish ends all work on an item whose result is kept for good.
+// finish ends all work on an item whose result is durable.
 func (it *item) finish() {
 	it.phase = phaseFinished
 	it.stop()
 }
 
-// stop ends the run of an item.
+// stop cancels the run of an item.
 func (it *item) stop() {
 	if it.run != nil && !it.run.over {
 		it.run.cancel()
--- a/internal/batchrun/lengths.go
+++ b/internal/batchrun/lengths.go
@@ -3,97 +3,94 @@
 import "math"
 
 const (
-	// assumedTokensPerEvent stands until texts have ended: engines of the deployments measured so far put 38 to 62 tokens in an
-	// event.
+	// assumedTokensPerEvent applies until texts with an estimate have ended.
 	assumedTokensPerEvent = 50.0
-	// assumedEvents is the length of a text of which nothing is known, in events.
+	// assumedEvents is the assumed length, in events, of a text without an estimate until such texts have ended.
 	assumedEvents = 25.0
-	// assumedLengthError is the standard deviation of the logarithm of a length relative to its estimate, until it is observed.
+	// assumedLengthError is the initial standard deviation of the log ratio of actual to estimated length.
 	assumedLengthError = 0.5
-	// minLengthError keeps estimates from being taken for certain.
+	// minLengthError is the minimum standard deviation assumed for estimates.
 	minLengthError = 0.2
-	// lengthWeight is the least share of the newest text in the moving averages: they follow a change within some 200 texts, a
-	// fraction of a step.
+	// lengthWeight is the minimum weight of the newest text in the moving averages.
 	lengthWeight = 0.005
-	// tailStep is the expected rest of a text that is far beyond its estimate, relative to its length: where the distribution gives
-	// no number any more.
-	tailStep = 0.1
+	// tailGrowth is the expected rest of a text far beyond its estimate, relative to its length. It applies where the conditional mean is
+	// numerically undefined.
+	tailGrowth = 0.1
 )
 
-// lengthModel expects the lengths of texts from their callers' estimates, which are in tokens, and from what texts that have ended
-// were like. Lengths are taken to be distributed log-normally around the corrected estimate. It is not safe for concurrent use.
+// lengthModel predicts text lengths in events from the callers' estimates in tokens and from completed texts. It assumes a log-normal
+// distribution around the corrected estimate. It is not safe for concurrent use.
 type lengthModel struct {
-	// count is the number of texts with an estimate, ratio the moving average of the logarithm of their events per estimated token,
-	// and variance that of the squared error.
-	count           int
-	ratio, variance float64
-	// plainCount and plain are the number of texts without an estimate and the moving average of the logarithm of their events.
-	plainCount int
-	plain      float64
-	// longest is the length of the longest text that has ended.
+	// count is the number of texts with an estimate, logRatio the moving average of the logarithm of their events per estimated token, and
+	// variance the moving average of its squared error.
+	count              int
+	logRatio, variance float64
+	// unestimatedCount is the number of texts without an estimate, and unestimatedLog the moving average of the logarithm of their events.
+	unestimatedCount int
+	unestimatedLog   float64
+	// longest is the length of the longest completed text.
 	longest int
 }
 
 func newLengthModel() *lengthModel {
 	return &lengthModel{
-		ratio:    -math.Log(assumedTokensPerEvent),
-		variance: assumedLengthError * assumedLengthError,
-		plain:    math.Log(assumedEvents),
+		logRatio:       -math.Log(assumedTokensPerEvent),
+		variance:       assumedLengthError * assumedLengthError,
+		unestimatedLog: math.Log(assumedEvents),
 	}
 }
 
-// observe takes in a text that is whole. expectedTokens is its caller's estimate, zero if there was none.
+// observe updates the model with a completed text. expectedTokens is the caller's estimate, zero if there was none.
 func (m *lengthModel) observe(expectedTokens, events int) {
 	if events <= 0 {
 		return
 	}
 	m.longest = max(m.longest, events)
 	if expectedTokens <= 0 {
-		m.plainCount++
-		m.plain += averageWeight(m.plainCount) * (math.Log(float64(events)) - m.plain)
+		m.unestimatedCount++
+		m.unestimatedLog += averageWeight(m.unestimatedCount) * (math.Log(float64(events)) - m.unestimatedLog)
 		return
 	}
 	m.count++
 	weight := averageWeight(m.count)
-	miss := math.Log(float64(events)/float64(expectedTokens)) - m.ratio
-	m.ratio += weight * miss
-	// The first texts tell the ratio; their miss is no error of their estimate.
+	logError := math.Log(float64(events)/float64(expectedTokens)) - m.logRatio
+	m.logRatio += weight * logError
+	// The first text only initializes the ratio; its deviation is not an estimation error.
 	if m.count > 1 {
-		m.variance += weight * (miss*miss - m.variance)
+		m.variance += weight * (logError*logError - m.variance)
 	}
 }
 
-// averageWeight makes a moving average the plain mean of what it has seen until that is much.
+// averageWeight returns the weight of the newest value: a plain mean at first, a moving average later.
 func averageWeight(count int) float64 { return max(1/float64(count), lengthWeight) }
 
-// remaining returns how many events a text is expected to lack that has some already: a text that is beyond its estimate is
-// expected to be longer still.
-func (m *lengthModel) remaining(expectedTokens, made int) float64 {
-	middle, deviation := m.plain, 1.0
+// remaining returns the expected number of events that a text still lacks. A text beyond its estimate is expected to grow further.
+func (m *lengthModel) remaining(expectedTokens, produced int) float64 {
+	logMean, logDeviation := m.unestimatedLog, 1.0
 	if expectedTokens > 0 {
-		middle = math.Log(float64(expectedTokens)) + m.ratio
-		deviation = max(math.Sqrt(m.variance), minLengthError)
+		logMean = math.Log(float64(expectedTokens)) + m.logRatio
+		logDeviation = max(math.Sqrt(m.variance), minLengthError)
 	}
-	expected := conditionalMean(middle, deviation, float64(made))
-	if m.longest > made {
+	expected := conditionalMean(logMean, logDeviation, float64(produced))
+	if m.longest > produced {
 		expected = min(expected, float64(m.longest))
 	}
-	return max(expected-float64(made), 1)
+	return max(expected-float64(produced), 1)
 }
 
-// conditionalMean returns the mean of a log-normal variable that is known to be greater than a bound.
-func conditionalMean(middle, deviation, bound float64) float64 {
-	mean := math.Exp(middle + deviation*deviation/2)
+// conditionalMean returns the mean of a log-normal variable, given that it exceeds a bound.
+func conditionalMean(logMean, logDeviation, bound float64) float64 {
+	mean := math.Exp(logMean + logDeviation*logDeviation/2)
 	if bound <= 0 {
 		return mean
 	}
-	distance := (middle - math.Log(bound)) / deviation
-	beyond := normalBelow(distance)
-	if beyond < 1e-6 {
-		return bound * (1 + tailStep)
+	distance := (logMean - math.Log(bound)) / logDeviation
+	tail := normalCDF(distance)
+	if tail < 1e-6 {
+		return bound * (1 + tailGrowth)
 	}
-	return mean * normalBelow(distance+deviation) / beyond
+	return mean * normalCDF(distance+logDeviation) / tail
 }
 
-// normalBelow is the distribution function of the standard normal distribution.
-func normalBelow(x float64) float64 { return math.Erfc(-x/math.Sqrt2) / 2 }
+// normalCDF is the distribution function of the standard normal distribution.
+func normalCDF(x float64) float64 { return math.Erfc(-x/math.Sqrt2) / 2 }
--- a/internal/batchrun/lengths_test.go
+++ b/internal/batchrun/lengths_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestLengthModel(t *testing.T) {
-	Convey("Estimates are corrected by the texts that have ended", t, func() {
+	Convey("Estimates are corrected by completed texts", t, func() {
 		m := newLengthModel()
 		for range 200 {
 			m.observe(1000, 10)
@@ -17,7 +17,7 @@
 		So(m.remaining(2000, 0), ShouldAlmostEqual, 20, 1)
 		So(m.remaining(3000, 10), ShouldAlmostEqual, 20, 2)
 	})
-	Convey("A text that is beyond its estimate is expected to be longer still, and none longer than the longest seen", t, func() {
+	Convey("A text beyond its estimate is expected to grow further, but not beyond the longest completed text", t, func() {
 		m := newLengthModel()
 		for _, events := range []int{5, 10, 20, 40, 165} {
 			m.observe(events*50, events)
@@ -32,7 +32,7 @@
 		So(m.remaining(500, 164), ShouldEqual, 1)
 		So(m.remaining(500, 400), ShouldBeBetween, 0, 100)
 	})
-	Convey("Estimates that are all wrong by a factor keep their order and are learnt", t, func() {
+	Convey("Estimates that are all off by one factor keep their order and are corrected", t, func() {
 		m := newLengthModel()
 		for i := range 400 {
 			events := 5 + i%60
@@ -41,7 +41,7 @@
 		So(m.remaining(150*30, 0), ShouldAlmostEqual, 30, 3)
 		So(m.remaining(150*60, 0), ShouldBeGreaterThan, m.remaining(150*30, 0))
 	})
-	Convey("Texts without an estimate are expected to be like others without one; empty ones tell nothing", t, func() {
+	Convey("Texts without an estimate are predicted from others without one; empty texts are ignored", t, func() {
 		m := newLengthModel()
 		m.observe(0, 0)
 		for range 100 {
--- a/internal/batchrun/local_sink.go
+++ b/internal/batchrun/local_sink.go
@@ -6,15 +6,15 @@
 	"github.com/covelink/covelink/internal/itemwork"
 )
 
-// localSink reports a run that this process carries out.
+// localSink reports a run that this process executes.
 type localSink struct {
 	runner     *Runner
 	assignment *itemwork.Assignment
-	// told is the number of events that were reported.
-	told    int
-	lastID  int64
-	version int64
-	end     itemwork.End
+	// reported is the number of reported events.
+	reported int
+	lastID   int64
+	version  int64
+	end      itemwork.End
 	// released is true if the run must make no reward call.
 	released atomic.Bool
 	// cancel ends the run.
@@ -23,14 +23,14 @@
 
 var _ itemwork.Sink = (*localSink)(nil)
 
-// report hands on what is new, and ends a run that is not wanted.
+// report sends a report to the runner, and cancels or releases the run if the runner no longer wants it.
 func (s *localSink) report(change func(report *itemwork.Report)) {
 	report := &itemwork.Report{
 		Run:     s.assignment.Run,
 		Job:     s.assignment.Job,
 		Item:    s.assignment.Item,
 		Engine:  s.assignment.Engine.ID,
-		From:    s.told,
+		From:    s.reported,
 		LastID:  s.lastID,
 		Version: s.version,
 		End:     s.end,
@@ -60,12 +60,12 @@
 			report.Pauses, report.PauseCount = event.Pause, 1
 		}
 	})
-	s.told++
+	s.reported++
 }
 
 // Restarted implements itemwork.Sink.
 func (s *localSink) Restarted() {
-	s.told = 0
+	s.reported = 0
 	s.report(func(report *itemwork.Report) { report.Restarted = true })
 }
 
--- a/internal/batchrun/place.go
+++ b/internal/batchrun/place.go
@@ -15,33 +15,33 @@
 )
 
 const (
-	// scheduleInterval is the longest pause between two looks while items wait.
+	// scheduleInterval is the longest delay between two scheduling passes while items wait.
 	scheduleInterval = 100 * time.Millisecond
-	// restFactor is the least pause between two looks, relative to what the first took: many runs that end together are one look.
-	restFactor = 4
-	// idleInterval is the longest pause while nothing waits.
+	// schedulePauseFactor is the minimum delay after a scheduling pass, as a multiple of the pass's duration. It coalesces runs that end
+	// together.
+	schedulePauseFactor = 4
+	// idleInterval is the longest delay between two scheduling passes while no items wait.
 	idleInterval = time.Second
-	// defaultSlots stands for engines that tell no slots.
+	// defaultSlots applies to engines that report no slot count.
 	defaultSlots = 4
-	// moveInterval is the pause between two looks for items that had better run elsewhere.
+	// moveInterval is the delay between two checks for items that would end sooner at another engine.
 	moveInterval = 200 * time.Millisecond
-	// moveAfter is how long an attempt is left alone before its item may be moved.
-	moveAfter = 400 * time.Millisecond
-	// unhurriedShare is the part of the time that the longest group of a job takes within which an item's text may take its time.
-	// Lengths are off by half in one case of six, so that it stays well below one.
-	unhurriedShare = 0.5
-	// maxMoveBackoff bounds how often that time doubles with each move of the item: engines of one kind change places in what is
-	// expected of them, and an item must not follow.
+	// minMoveAge is how long a run must have lasted before its item may be moved.
+	minMoveAge = 400 * time.Millisecond
+	// slackShare is the share of the remaining time of a job's longest group that the text of an item may take at a slower engine. It is
+	// well below 1 because length estimates are imprecise.
+	slackShare = 0.5
+	// maxMoveBackoff bounds how often minMoveAge doubles with each move of an item, so that an item does not follow every change in the
+	// ranking of similar engines.
 	maxMoveBackoff = 2
-	// moveFactor is how much slower an item's engine must be than another before the item is moved: kinds of engines differ by 1.3, and
-	// engines of one kind by less than 1.15.
-	moveFactor = 1.15
-	// minMoveGain is by how much sooner a moved item must be expected to end: a move costs it some 100 ms, and the expectation is off
-	// by a third.
+	// minMoveSpeedup is how many times slower than another engine an item's engine must be before the item is moved. It exceeds the
+	// variation between engines of one kind.
+	minMoveSpeedup = 1.15
+	// minMoveGain is the minimum expected time saved by a move. It covers the cost of the move and the error of the estimate.
 	minMoveGain = 300 * time.Millisecond
 )
 
-// scheduleUntil places items until ctx ends.
+// scheduleUntil runs scheduling passes until ctx ends.
 func (r *Runner) scheduleUntil(ctx context.Context) {
 	var movedAt time.Time
 	running := 0
@@ -49,15 +49,15 @@
 		_, changed := r.State.Changed()
 		r.mu.Lock()
 		started := r.now()
-		looked := r.newLook(r.State.View())
-		emptyPause := r.emptyZones(looked)
-		r.renewSpare(looked)
+		pass := r.newSchedulingPass(r.State.View())
+		drainDelay := r.drainEvacuatedZones(pass)
+		r.renewSpareGroups(pass)
 		if started.Sub(movedAt) >= moveInterval {
-			running, movedAt = r.moveSlow(looked), started
-			r.endDetached()
-			r.loseUnheard()
+			running, movedAt = r.moveFromSlowEngines(pass), started
+			r.expireDetached()
+			r.expireRuns()
 		}
-		left := r.schedule(looked)
+		left := r.schedule(pass)
 		took := r.now().Sub(started)
 		r.mu.Unlock()
 		interval := idleInterval
@@ -67,8 +67,8 @@
 		case running > 0:
 			interval = moveInterval
 		}
-		pause.For(ctx, min(restFactor*took, scheduleInterval))
-		timer := time.NewTimer(min(interval, emptyPause))
+		pause.For(ctx, min(schedulePauseFactor*took, scheduleInterval))
+		timer := time.NewTimer(min(interval, drainDelay))
 		select {
 		case <-r.wake:
 		case <-changed:
@@ -79,122 +79,122 @@
 	}
 }
 
-// schedule places as many waiting items as there is room for, and returns how many are left. The mutex must be held.
-func (r *Runner) schedule(looked *look) int {
-	if looked.view.Routes == nil {
+// schedule starts as many waiting items as engines can take, and returns the number of items left. The mutex must be held.
+func (r *Runner) schedule(pass *schedulingPass) int {
+	if pass.view.Routes == nil {
 		return 0
 	}
 	left := 0
-	for _, waiting := range r.waiting(looked.view) {
+	for _, waiting := range r.waitingItems(pass.view) {
 		if waiting.item.text.Whole {
-			r.judgeHere(waiting.item)
+			r.startRewardCall(waiting.item)
 			continue
 		}
-		if waiting.item.notBefore.After(looked.now) {
+		if waiting.item.notBefore.After(pass.now) {
 			left++
 			continue
 		}
-		status := r.statusOf(waiting.item)
-		if r.holdsBack(waiting.item, status, looked.now) {
+		status := r.quarantineStatus(waiting.item)
+		if r.heldByQuarantine(waiting.item, status, pass.now) {
 			left++
 			continue
 		}
-		// Items of one group share a prompt and so their engines, and were all held for what one of them did: the next end tells items that
-		// run apart from each other.
-		apart := status.Standing >= quarantine.Isolated
-		chosen := r.place(looked, waiting, apart)
-		if chosen == nil || !r.canCarry(waiting.item) {
+		// Items of one group share a prompt, hence their engines, so an engine fault isolates all of them. Running them on separate engines
+		// shows which item causes the fault.
+		isolated := status.Standing >= quarantine.Isolated
+		chosen := r.place(pass, waiting, isolated)
+		if chosen == nil || !r.canExecute(waiting.item) {
 			left++
 			continue
 		}
-		within, ok := r.granted(chosen.engine, waiting.urgency.rank)
+		sendWithin, ok := r.takeGrant(chosen.engine, waiting.urgency.rank)
 		if !ok {
-			// A lookup that is as urgent waits for the engine, or has just been granted what there was.
-			looked.used(chosen)
+			// A request of the same or higher rank is waiting for the engine's grants, or has taken the last one.
+			pass.refresh(chosen)
 			left++
 			continue
 		}
 		waiting.item.trial = trialNone
-		r.start(waiting.item, waiting.route, chosen.engine, placing{apart: apart, within: within})
-		looked.used(chosen)
+		r.start(waiting.item, waiting.route, chosen.engine, startOptions{isolated: isolated, sendWithin: sendWithin})
+		pass.refresh(chosen)
 	}
 	return left
 }
 
-// place chooses the engine of a waiting item, or nil if none can take it now. One that must run apart waits for an engine without another
-// such item.
-func (r *Runner) place(looked *look, waiting waitingItem, apart bool) *candidate {
+// place chooses the engine for a waiting item, or returns nil if none can take it now. An isolated item waits for an engine without another
+// isolated run.
+func (r *Runner) place(pass *schedulingPass, waiting waitingItem, isolated bool) *candidate {
 	it := waiting.item
-	least := r.preferred(looked, waiting.route, it)
-	if apart {
-		return looked.chooseApart(waiting.route, it, least)
+	minVersion := r.preferredVersion(pass, waiting.route, it)
+	if isolated {
+		return pass.chooseIsolated(waiting.route, it, minVersion)
 	}
 	events := r.lengths.remaining(it.ExpectedLength, it.text.Len())
-	return looked.chooseUnhurried(waiting.route, it, least, events, time.Duration(unhurriedShare*float64(it.job.longest)))
+	return pass.chooseWithSlack(waiting.route, it, minVersion, events, time.Duration(slackShare*float64(it.job.longest)))
 }
 
-// moveSlow ends attempts at engines that are slower than another that has room, so that their items go on there, those with the most
-// time left first and at most one an engine. It returns the number of items that run. The mutex must be held.
-func (r *Runner) moveSlow(looked *look) (running int) {
-	if looked.view.Routes == nil {
+// moveFromSlowEngines cancels runs on engines that are slower than another engine with free slots, so that their items resume there. Items
+// with the most time left come first, at most one per engine. It returns the number of running items. The mutex must be held.
+func (r *Runner) moveFromSlowEngines(pass *schedulingPass) (running int) {
+	if pass.view.Routes == nil {
 		return 0
 	}
 	candidates := r.runningItems()
-	slices.SortStableFunc(candidates, func(a, b movable) int { return cmp.Compare(b.timeLeft, a.timeLeft) })
+	slices.SortStableFunc(candidates, func(a, b runningItem) int { return cmp.Compare(b.timeLeft, a.timeLeft) })
 	moved := make(map[string]struct{})
 	for _, candidate := range candidates {
 		if candidate.timeLeft < minMoveGain {
 			break
 		}
-		if _, done := moved[candidate.item.run.engine]; !done && r.moveIfSlow(looked, candidate) {
+		if _, done := moved[candidate.item.run.engine]; !done && r.moveIfFaster(pass, candidate) {
 			moved[candidate.item.run.engine] = struct{}{}
 		}
 	}
 	return len(candidates)
 }
 
-// movable is an item that runs, with how long it is expected to take where it is.
-type movable struct {
+// runningItem is an item with a run in progress, and its expected remaining time there.
+type runningItem struct {
 	item     *item
 	timeLeft time.Duration
 }
 
-func (r *Runner) runningItems() []movable {
-	var found []movable
+func (r *Runner) runningItems() []runningItem {
+	var found []runningItem
 	for _, j := range r.order {
 		if j.ended {
 			continue
 		}
 		for _, it := range j.items {
 			if it.phase == phaseRunning {
-				found = append(found, movable{item: it, timeLeft: r.timeLeft(it)})
+				found = append(found, runningItem{item: it, timeLeft: r.timeLeft(it)})
 			}
 		}
 	}
 	return found
 }
 
-// moveIfSlow moves an item if it is expected to end sooner elsewhere by more than a move costs.
-func (r *Runner) moveIfSlow(looked *look, candidate movable) bool {
+// moveIfFaster moves an item if another engine is expected to end it sooner by at least minMoveGain.
+func (r *Runner) moveIfFaster(pass *schedulingPass, candidate runningItem) bool {
 	it := candidate.item
-	if it.run.moving || looked.now.Sub(it.run.started) < moveAfter<<min(it.moves, maxMoveBackoff) {
+	if it.run.moving || pass.now.Sub(it.run.started) < minMoveAge<<min(it.moves, maxMoveBackoff) {
 		return false
 	}
-	route := looked.view.Routes.Match(it.job.Host, it.Path)
+	route := pass.view.Routes.Match(it.job.Host, it.Path)
 	if route == nil {
 		return false
 	}
-	ownPause := r.engine(it.run.engine).pause(looked.now)
-	other, otherPause := looked.choose(route, it, r.preferred(looked, route, it))
-	if other == nil || other.engine.ID == it.run.engine || r.isCold(other.engine) || ownPause.Seconds() < moveFactor*otherPause {
+	ownInterval := r.engine(it.run.engine).eventInterval(pass.now)
+	other, otherInterval := pass.choose(route, it, r.preferredVersion(pass, route, it))
+	if other == nil || other.engine.ID == it.run.engine || r.isCold(other.engine) || ownInterval.Seconds() < minMoveSpeedup*otherInterval {
 		return false
 	}
-	gain := time.Duration(float64(candidate.timeLeft) * (1 - otherPause/ownPause.Seconds()))
+	gain := time.Duration(float64(candidate.timeLeft) * (1 - otherInterval/ownInterval.Seconds()))
 	if gain < minMoveGain {
 		return false
 	}
 	level.Info(r.Logger).Log("msg", "item moved", "request", it.ID, "job", it.job.ID, "from", it.run.engine, "to", other.engine.ID,
-		"pause", ownPause.Round(time.Millisecond), "other_pause", time.Duration(otherPause*float64(time.Second)).Round(time.Millisecond),
+		"pause", ownInterval.Round(time.Millisecond), "other_pause", time.Duration(otherInterval*float64(time.Second)).Round(time.Millisecond),
 		"gain", gain.Round(time.Millisecond), "text_events", it.text.Len())
 	r.Observer.HandedOver(HandOverSlow)
 	it.moves++
@@ -203,17 +203,17 @@
 	return true
 }
 
-// draw spreads items evenly over [0, 1) by their IDs.
-func draw(id string) float64 {
+// hashFraction maps item IDs uniformly to [0, 1).
+func hashFraction(id string) float64 {
 	return float64(rendezvous.Hash(id)>>11) / (1 << 53)
 }
 
-// route returns an item's route, or nil if there is none now.
+// route returns an item's route, or nil if no route matches.
 func (r *Runner) route(it *item) *routing.Route {
 	return r.State.View().Routes.Match(it.job.Host, it.Path)
 }
 
-// singleVersion reports whether an item's text must be made by one weight version.
+// singleVersion reports whether a single weight version must produce an item's whole text.
 func (r *Runner) singleVersion(it *item) bool {
 	route := r.route(it)
 	return route != nil && route.SingleVersion
--- /dev/null
+++ b/internal/batchrun/quarantine.go
@@ -0,0 +1,73 @@
+package batchrun
+
+import (
+	"context"
+	"time"
+
+	"github.com/covelink/covelink/internal/itemwork"
+	"github.com/covelink/covelink/internal/quarantine"
+)
+
+// heldPollInterval is the longest delay between two checks of a held item, which may be cleared meanwhile.
+const heldPollInterval = time.Second
+
+// trial is the state of a held item's request for a trial run.
+type trial int
+
+const (
+	trialNone trial = iota
+	// trialRequested means that the reply is pending.
+	trialRequested
+	// trialGranted means that the item may run once.
+	trialGranted
+)
+
+// fingerprint identifies the item's request.
+func (it *item) fingerprint() quarantine.Fingerprint {
+	if it.cachedFingerprint == nil {
+		request := itemwork.Assignment{Host: it.job.Host, Path: it.Path, Tenant: it.job.Tenant, Body: it.Body}
+		fingerprint := request.Fingerprint()
+		it.cachedFingerprint = &fingerprint
+	}
+	return *it.cachedFingerprint
+}
+
+// quarantineStatus returns the quarantine status of an item's request. It skips the fingerprint while the table is empty, which is the
+// usual case.
+func (r *Runner) quarantineStatus(it *item) quarantine.Status {
+	if r.Guard == nil || r.Guard.Table.Empty() {
+		return quarantine.Status{}
+	}
+	return r.Guard.Table.Status(it.fingerprint())
+}
+
+// heldByQuarantine reports whether an item must not run now because engines have failed while running it, and requests a trial run when one
+// is due. Without it, one item could crash engine after engine. The mutex must be held.
+func (r *Runner) heldByQuarantine(it *item, status quarantine.Status, now time.Time) bool {
+	if status.Standing != quarantine.Held || it.trial == trialGranted {
+		return false
+	}
+	if status.Wait > 0 {
+		it.notBefore = now.Add(min(status.Wait, heldPollInterval))
+		return true
+	}
+	if it.trial == trialNone {
+		it.trial = trialRequested
+		r.goroutines.Go(func() { r.requestTrial(r.term, it) })
+	}
+	return true
+}
+
+// requestTrial asks the guard whether a held item may run once.
+func (r *Runner) requestTrial(term context.Context, it *item) {
+	reply, err := r.Guard.Ask(term, r.Guard.Table.Record(it.fingerprint()))
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	it.trial = trialNone
+	if err == nil && reply.Granted {
+		it.trial = trialGranted
+	} else {
+		it.notBefore = r.now().Add(min(max(reply.Wait, retryDelay), heldPollInterval))
+	}
+	r.wakeScheduler()
+}
--- a/internal/batchrun/queue.go
+++ b/internal/batchrun/queue.go
@@ -8,27 +8,27 @@
 	"github.com/covelink/covelink/internal/routing"
 )
 
-// waitingItem is an item that waits for an engine.
+// waitingItem is an item in the queue for an engine.
 type waitingItem struct {
 	item    *item
 	route   *routing.Route
 	urgency urgency
 }
 
-// urgency is what the order of waiting items rests on.
+// urgency is the sort key of the queue.
 type urgency struct {
-	// rank is that of the job's tenant and route.
+	// rank is the priority of the job's tenant and route.
 	rank routing.Rank
-	// renewed items are begun anew for a later job, at the few engines that have its weights.
+	// renewed is true for items restarted for a later job, which only the few engines with that job's weights can take.
 	renewed bool
-	// spare items are of groups that their trainer is not expected to wait for.
+	// spare is true for items of groups that the trainer is not expected to wait for.
 	spare bool
-	// latestStart is when the item must begin for its text to be whole when the results of its job are due.
+	// latestStart is when the item must start for its text to be complete by the result deadline of its job.
 	latestStart time.Time
 }
 
-// before reports whether an item is placed before another: the least slack goes first, so that within a job the longest do, and
-// a long item of a later job need not wait for the short ones of an earlier. Slack shrinks as time passes: nothing waits forever.
+// before reports whether an item is placed before another. Least slack goes first: long items precede short ones, also across jobs. Slack
+// shrinks over time, so no item starves.
 func (u urgency) before(other urgency) bool {
 	if order := u.rank.Compare(other.rank); order != 0 {
 		return order < 0
@@ -42,8 +42,8 @@
 	return u.latestStart.Before(other.latestStart)
 }
 
-// waiting returns the items that wait, those first that are placed first, and gives up those that have waited too long.
-func (r *Runner) waiting(view *fleet.View) []waitingItem {
+// waitingItems returns the queue in placement order, and gives up items without a route or beyond the route's MaxQueue.
+func (r *Runner) waitingItems(view *fleet.View) []waitingItem {
 	var entries []waitingItem
 	now := r.now()
 	for _, j := range r.order {
@@ -56,7 +56,7 @@
 			}
 			route := view.Routes.Match(j.Host, it.Path)
 			if route == nil || (route.MaxQueue > 0 && now.Sub(j.accepted) > route.MaxQueue) {
-				r.giveUp(it, "route gone or waited too long")
+				r.giveUp(it, "no matching route, or queued longer than the route allows")
 				continue
 			}
 			entries = append(entries, waitingItem{item: it, route: route, urgency: urgency{
--- a/internal/batchrun/queue_test.go
+++ b/internal/batchrun/queue_test.go
@@ -13,7 +13,7 @@
 func TestUrgency(t *testing.T) {
 	now := time.Now()
 	at := func(seconds int) time.Time { return now.Add(time.Duration(seconds) * time.Second) }
-	Convey("Items are placed by priority, then those begun anew for a later job, those that are waited for, and the least slack", t, func() {
+	Convey("Items are ordered by rank, then restarted items, then items that are waited for, then the least slack", t, func() {
 		ordered := []urgency{
 			{rank: routing.Rank{Route: 0}, latestStart: at(9)},
 			{rank: routing.Rank{Route: 1}, renewed: true, spare: true, latestStart: at(7)},
--- a/internal/batchrun/remote_test.go
+++ b/internal/batchrun/remote_test.go
@@ -20,68 +20,68 @@
 	"github.com/covelink/covelink/internal/routing"
 )
 
-// deskWorld is a world whose runners hand their runs to workers.
-type deskWorld struct {
-	*world
+// workerHarness is a harness whose runners dispatch their runs to workers.
+type workerHarness struct {
+	*harness
 	desk atomic.Pointer[itemwork.Desk]
-	// cut makes calls to the desk go unanswered.
-	cut atomic.Bool
-	// reports counts those that workers made.
+	// disconnected makes calls to the desk time out.
+	disconnected atomic.Bool
+	// reports counts the reports sent by workers.
 	reports atomic.Int64
-	// workerZone is that of the workers that are started.
+	// workerZone is the zone of workers started afterwards.
 	workerZone string
-	// held is how long answers to polls are delayed, in nanoseconds.
-	held atomic.Int64
-	// warmAt is when a cold engine becomes warm.
+	// pollDelay is the delay of replies to polls, in nanoseconds.
+	pollDelay atomic.Int64
+	// warmAt is when the cold engine becomes warm.
 	warmAt time.Time
 }
 
-func playDesk(t *testing.T, name string, scene func(w *deskWorld)) {
+func runWorkerScenario(t *testing.T, name string, scenario func(h *workerHarness)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := &deskWorld{world: newWorld(routing.Route{})}
-		w.stop()
-		w.lead(1)
-		defer func() { w.stop() }()
-		Convey(name, t, func() { scene(w) })
+		h := &workerHarness{harness: newHarness(routing.Route{})}
+		h.stop()
+		h.startTerm(1)
+		defer func() { h.stop() }()
+		Convey(name, t, func() { scenario(h) })
 	})
 }
 
-// lead starts a runner with a desk and a term of its own, once the one before has stopped.
-func (w *deskWorld) lead(token int64) {
+// startTerm starts a runner with a new desk that leads with the given token. The previous runner must have stopped.
+func (h *workerHarness) startTerm(token int64) {
 	desk := itemwork.NewDesk(log.NewNopLogger())
-	desk.Region = func(zone string) string { return w.state.View().Topology.Region(zone) }
-	w.desk.Store(desk)
-	w.world.desk = desk
-	w.runner, w.stop = w.world.lead(token)
+	desk.Region = func(zone string) string { return h.state.View().Topology.Region(zone) }
+	h.desk.Store(desk)
+	h.harness.desk = desk
+	h.runner, h.stop = h.harness.startTerm(token)
 }
 
-// work starts a worker and returns what stops it.
-func (w *deskWorld) work(name string) (stop func()) {
+// startWorker starts a worker and returns a function that stops it.
+func (h *workerHarness) startWorker(name string) (stop func()) {
 	worker := itemwork.NewWorker(itemwork.WorkerParams{
 		Name:     name,
 		Instance: "first",
-		Zone:     w.workerZone,
+		Zone:     h.workerZone,
 		Executor: &itemwork.Executor{
-			State:     w.state,
-			Transport: w.engines,
-			Forwarder: forward.New(w.state, w.engines, forward.NewPicker(time.Now), log.NewNopLogger()),
+			State:     h.state,
+			Transport: h.engines,
+			Forwarder: forward.New(h.state, h.engines, forward.NewPicker(time.Now), log.NewNopLogger()),
 		},
 		Coordinator: func() string { return "desk" },
 		Poll: func(ctx context.Context, _ string, request itemwork.PollRequest) (itemwork.PollReply, error) {
-			if w.cut.Load() {
+			if h.disconnected.Load() {
 				<-ctx.Done()
 				return itemwork.PollReply{}, ctx.Err()
 			}
-			return w.hold(w.desk.Load().Poll(ctx, request)), nil
+			return h.delayPoll(h.desk.Load().Poll(ctx, request)), nil
 		},
 		Report: func(ctx context.Context, _ string, request itemwork.ReportRequest) (itemwork.ReportReply, error) {
-			if w.cut.Load() {
+			if h.disconnected.Load() {
 				<-ctx.Done()
 				return itemwork.ReportReply{}, ctx.Err()
 			}
-			w.reports.Add(int64(len(request.Reports)))
-			return w.desk.Load().Report(request), nil
+			h.reports.Add(int64(len(request.Reports)))
+			return h.desk.Load().Report(request), nil
 		},
 		Draining: func() bool { return false },
 		Logger:   log.NewNopLogger(),
@@ -99,19 +99,19 @@
 	}
 }
 
-// submit submits a job of some items.
-func (w *deskWorld) submit(id string, items int) {
-	So(w.runner.Submit(context.Background(), newJob(id, items)), ShouldBeNil)
+// submit submits a job with the given number of items.
+func (h *workerHarness) submit(id string, items int) {
+	So(h.runner.Submit(context.Background(), newJob(id, items)), ShouldBeNil)
 }
 
-func (w *deskWorld) shouldBeWhole(results []batch.Result, items int) {
+func (h *workerHarness) shouldBeWhole(results []batch.Result, items int) {
 	So(len(results), ShouldEqual, items)
 	for _, result := range results {
-		So(result, ShouldResemble, batch.Result{ID: result.ID, Text: w.wholeText(), Versions: []int64{1}, Score: "signed"})
+		So(result, ShouldResemble, batch.Result{ID: result.ID, Text: h.completeText(), Versions: []int64{1}, Score: "signed"})
 	}
 }
 
-// endingQuota ends the term while a run is placed.
+// endingQuota ends the term while a run is being placed.
 type endingQuota struct {
 	stop func()
 	desk *itemwork.Desk
@@ -120,7 +120,7 @@
 func (q endingQuota) Cold(*fleet.Engine) bool               { return true }
 func (q endingQuota) Free(*fleet.Engine, routing.Rank) bool { return true }
 
-// Take returns once the desk has let go of its workers.
+// Take returns once the desk has dropped its workers.
 func (q endingQuota) Take(*fleet.Engine, routing.Rank) bool {
 	go q.stop()
 	for q.desk.Workers() > 0 {
@@ -130,227 +130,227 @@
 }
 
 func TestTermEndsWhilePlacing(t *testing.T) {
-	playDesk(t, "A run that is placed while the term ends is not carried out by the process that led, and the next term makes the text once", func(w *deskWorld) {
-		w.stop()
+	runWorkerScenario(t, "A run placed while the term ends is not executed by the former leader, and the next term executes it once", func(h *workerHarness) {
+		h.stop()
 		var ending endingQuota
-		w.quota = &ending
-		w.lead(2)
-		defer w.work("one")()
+		h.quota = &ending
+		h.startTerm(2)
+		defer h.startWorker("one")()
 		var ended sync.WaitGroup
 		ended.Add(1)
-		ending.desk = w.desk.Load()
+		ending.desk = h.desk.Load()
 		ending.stop = func() {
-			w.stop()
+			h.stop()
 			ended.Done()
 		}
-		w.submit("j", 1)
+		h.submit("j", 1)
 		ended.Wait()
-		So(w.engines.count(), ShouldEqual, 0)
-		w.quota = nil
-		w.lead(3)
-		w.shouldBeWhole(w.results("j", 3*time.Second), 1)
-		So(len(w.engines.of("j-0")), ShouldEqual, 1)
+		So(h.engines.count(), ShouldEqual, 0)
+		h.quota = nil
+		h.startTerm(3)
+		h.shouldBeWhole(h.results("j", 3*time.Second), 1)
+		So(len(h.engines.executionsOf("j-0")), ShouldEqual, 1)
 	})
 }
 
 func TestWorkers(t *testing.T) {
-	playDesk(t, "Items that workers run get one whole result each, from one run", func(w *deskWorld) {
-		defer w.work("one")()
-		defer w.work("two")()
-		w.submit("j", 6)
-		w.shouldBeWhole(w.results("j", 2*time.Second), 6)
+	runWorkerScenario(t, "Items run by workers get one complete result each, from one run", func(h *workerHarness) {
+		defer h.startWorker("one")()
+		defer h.startWorker("two")()
+		h.submit("j", 6)
+		h.shouldBeWhole(h.results("j", 2*time.Second), 6)
 		for i := range 6 {
-			So(len(w.engines.of(fmt.Sprintf("j-%d", i))), ShouldEqual, 1)
+			So(len(h.engines.executionsOf(fmt.Sprintf("j-%d", i))), ShouldEqual, 1)
 		}
 	})
-	playDesk(t, "A later term takes over what workers hold: runs that last, ended ones, and none is begun again", func(w *deskWorld) {
-		defer w.work("one")()
-		w.engines.set("b", behaviour{pause: 100 * time.Millisecond})
-		w.submit("j", 4)
+	runWorkerScenario(t, "A later term adopts the ongoing and ended runs of workers, and restarts none", func(h *workerHarness) {
+		defer h.startWorker("one")()
+		h.engines.setBehavior("b", engineBehavior{pause: 100 * time.Millisecond})
+		h.submit("j", 4)
 		time.Sleep(300 * time.Millisecond)
-		w.stop()
+		h.stop()
 		time.Sleep(500 * time.Millisecond)
-		w.lead(2)
-		w.shouldBeWhole(w.results("j", 3*time.Second), 4)
+		h.startTerm(2)
+		h.shouldBeWhole(h.results("j", 3*time.Second), 4)
 		for i := range 4 {
-			So(len(w.engines.of(fmt.Sprintf("j-%d", i))), ShouldEqual, 1)
+			So(len(h.engines.executionsOf(fmt.Sprintf("j-%d", i))), ShouldEqual, 1)
 		}
 	})
-	playDesk(t, "A worker that stops tells what its runs have made: the items go on after it", func(w *deskWorld) {
-		stop := w.work("one")
-		w.submit("j", 1)
+	runWorkerScenario(t, "A worker that stops reports its runs' texts, and the items resume from them", func(h *workerHarness) {
+		stop := h.startWorker("one")
+		h.submit("j", 1)
 		time.Sleep(150 * time.Millisecond)
 		stop()
-		w.shouldBeWhole(w.results("j", 4*time.Second), 1)
-		runs := w.engines.of("j-0")
+		h.shouldBeWhole(h.results("j", 4*time.Second), 1)
+		runs := h.engines.executionsOf("j-0")
 		So(len(runs), ShouldEqual, 2)
 		So(runs[1].from, ShouldBeGreaterThan, 3)
 	})
-	playDesk(t, "The items of a worker that is not heard of any more go on elsewhere within 2 s, after what it has told", func(w *deskWorld) {
-		defer w.work("one")()
-		w.engines.set("a", behaviour{pause: 100 * time.Millisecond})
-		w.engines.set("b", behaviour{pause: 100 * time.Millisecond})
-		w.submit("j", 1)
+	runWorkerScenario(t, "The items of a lost worker resume elsewhere within 2 s, after their last reported event", func(h *workerHarness) {
+		defer h.startWorker("one")()
+		h.engines.setBehavior("a", engineBehavior{pause: 100 * time.Millisecond})
+		h.engines.setBehavior("b", engineBehavior{pause: 100 * time.Millisecond})
+		h.submit("j", 1)
 		time.Sleep(700 * time.Millisecond)
-		w.cut.Store(true)
+		h.disconnected.Store(true)
 		time.Sleep(2500 * time.Millisecond)
-		runs := w.engines.of("j-0")
+		runs := h.engines.executionsOf("j-0")
 		So(len(runs), ShouldEqual, 2)
 		So(runs[1].from, ShouldBeGreaterThan, 2)
-		w.shouldBeWhole(w.results("j", 2*time.Second), 1)
+		h.shouldBeWhole(h.results("j", 2*time.Second), 1)
 	})
-	playDesk(t, "A worker that hears nothing of the coordinator begins no reward call", func(w *deskWorld) {
-		defer w.work("one")()
-		w.engines.set("a", behaviour{pause: 150 * time.Millisecond})
-		w.engines.set("b", behaviour{pause: 150 * time.Millisecond})
-		w.submit("j", 1)
+	runWorkerScenario(t, "A worker without contact to the coordinator starts no reward call", func(h *workerHarness) {
+		defer h.startWorker("one")()
+		h.engines.setBehavior("a", engineBehavior{pause: 150 * time.Millisecond})
+		h.engines.setBehavior("b", engineBehavior{pause: 150 * time.Millisecond})
+		h.submit("j", 1)
 		time.Sleep(100 * time.Millisecond)
-		w.cut.Store(true)
-		w.stop()
+		h.disconnected.Store(true)
+		h.stop()
 		time.Sleep(5 * time.Second)
-		So(len(w.engines.of("j-0")), ShouldEqual, 1)
-		So(w.engines.of("reward-j-0"), ShouldBeEmpty)
-		w.cut.Store(false)
-		w.lead(2)
-		w.shouldBeWhole(w.results("j", time.Second), 1)
-		So(len(w.engines.of("reward-j-0")), ShouldEqual, 1)
+		So(len(h.engines.executionsOf("j-0")), ShouldEqual, 1)
+		So(h.engines.executionsOf("reward-j-0"), ShouldBeEmpty)
+		h.disconnected.Store(false)
+		h.startTerm(2)
+		h.shouldBeWhole(h.results("j", time.Second), 1)
+		So(len(h.engines.executionsOf("reward-j-0")), ShouldEqual, 1)
 	})
 }
 
-// A step of 88 items waited 6.4 s longer: its longest item, whose run had gone on from the step before, was begun anew after a change of
-// coordinator, though its worker held the whole text.
+// Guards against a carried-over item being restarted after a change of coordinator although its worker holds the whole text.
 func TestCarriedRunOutlivesTerm(t *testing.T) {
-	for name, wait := range map[string]time.Duration{"that lasts": 200 * time.Millisecond, "that ended while nobody led": 1500 * time.Millisecond} {
-		playDesk(t, "A run "+name+", begun for one job and carried over into the next, is taken over by a later term", func(w *deskWorld) {
-			defer w.work("one")()
-			w.engines.set("a", behaviour{pause: 100 * time.Millisecond, version: 2})
-			w.engines.set("b", behaviour{pause: 100 * time.Millisecond, version: 2})
-			w.submit("j", 1)
+	for name, wait := range map[string]time.Duration{"still streaming": 200 * time.Millisecond, "that ended while nobody led": 1500 * time.Millisecond} {
+		runWorkerScenario(t, "A run "+name+", started for one job and carried over into the next, is adopted by a later term", func(h *workerHarness) {
+			defer h.startWorker("one")()
+			h.engines.setBehavior("a", engineBehavior{pause: 100 * time.Millisecond, version: 2})
+			h.engines.setBehavior("b", engineBehavior{pause: 100 * time.Millisecond, version: 2})
+			h.submit("j", 1)
 			time.Sleep(700 * time.Millisecond)
-			So(w.runner.End(context.Background(), batch.Ref{ID: "j"}), ShouldBeNil)
+			So(h.runner.End(context.Background(), batch.Ref{ID: "j"}), ShouldBeNil)
 			next := newJob("k", 1)
 			next.Step, next.MinVersion, next.Items = 1, 2, newJob("j", 1).Items
-			So(w.runner.Submit(context.Background(), next), ShouldBeNil)
+			So(h.runner.Submit(context.Background(), next), ShouldBeNil)
 			time.Sleep(100 * time.Millisecond)
-			w.stop()
+			h.stop()
 			time.Sleep(wait)
-			w.lead(2)
-			results := w.results("k", 3*time.Second)
+			h.startTerm(2)
+			results := h.results("k", 3*time.Second)
 			So(results, ShouldHaveLength, 1)
-			So(results[0].Text, ShouldEqual, w.wholeText())
+			So(results[0].Text, ShouldEqual, h.completeText())
 			So(results[0].Score, ShouldEqual, "signed")
-			So(len(w.engines.of("j-0")), ShouldEqual, 1)
-			So(len(w.engines.of("reward-j-0")), ShouldEqual, 1)
+			So(len(h.engines.executionsOf("j-0")), ShouldEqual, 1)
+			So(len(h.engines.executionsOf("reward-j-0")), ShouldEqual, 1)
 		})
 	}
-	playDesk(t, "A run of another tenant's item of the same name is not", func(w *deskWorld) {
-		worker := w.handWorker()
+	runWorkerScenario(t, "A run of another tenant's item of the same name is not adopted", func(h *workerHarness) {
+		worker := h.newScriptedWorker()
 		job := newJob("j", 1)
 		job.Tenant = "alpha"
-		So(w.runner.Submit(context.Background(), job), ShouldBeNil)
-		started := worker.stay(1)
+		So(h.runner.Submit(context.Background(), job), ShouldBeNil)
+		started := worker.pollFor(1)
 		So(len(started), ShouldEqual, 1)
-		So(w.runner.End(context.Background(), batch.Ref{ID: "j", Tenant: "alpha"}), ShouldBeNil)
+		So(h.runner.End(context.Background(), batch.Ref{ID: "j", Tenant: "alpha"}), ShouldBeNil)
 		other := newJob("k", 1)
 		other.Tenant, other.Step, other.Items = "beta", 1, newJob("j", 1).Items
-		So(w.runner.Submit(context.Background(), other), ShouldBeNil)
-		w.stop()
-		w.lead(2)
-		worker = w.handWorker()
+		So(h.runner.Submit(context.Background(), other), ShouldBeNil)
+		h.stop()
+		h.startTerm(2)
+		worker = h.newScriptedWorker()
 		So(worker.report(started[0], itemwork.VerdictNone, itemwork.Judgement{}), ShouldResemble, []itemwork.RunID{started[0].Run})
 	})
 }
 
-// A reward call may run as long as an item may after its job's end: a worker that is cut off does not know of that end.
+// Guards against losing the longer text of a worker that reports only after its item was restarted.
 func TestLateAdoption(t *testing.T) {
-	playDesk(t, "A text that a worker tells of late goes before what was begun anew meanwhile", func(w *deskWorld) {
-		defer w.work("one")()
-		w.engines.events = 100
-		w.engines.set("a", behaviour{pause: 50 * time.Millisecond})
-		w.engines.set("b", behaviour{pause: 50 * time.Millisecond})
-		w.submit("j", 1)
+	runWorkerScenario(t, "A longer text that a worker reports late replaces the run started meanwhile", func(h *workerHarness) {
+		defer h.startWorker("one")()
+		h.engines.events = 100
+		h.engines.setBehavior("a", engineBehavior{pause: 50 * time.Millisecond})
+		h.engines.setBehavior("b", engineBehavior{pause: 50 * time.Millisecond})
+		h.submit("j", 1)
 		time.Sleep(4 * time.Second)
-		w.stop()
-		w.cut.Store(true)
-		w.lead(2)
+		h.stop()
+		h.disconnected.Store(true)
+		h.startTerm(2)
 		time.Sleep(500 * time.Millisecond)
-		So(w.engines.of("j-0"), ShouldHaveLength, 2)
-		w.cut.Store(false)
-		w.shouldBeWhole(w.results("j", 2*time.Second), 1)
+		So(h.engines.executionsOf("j-0"), ShouldHaveLength, 2)
+		h.disconnected.Store(false)
+		h.shouldBeWhole(h.results("j", 2*time.Second), 1)
 	})
 }
 
+// Guards against a reward call that a disconnected worker continues after the end of its job.
 func TestRewardCallWithoutCoordinator(t *testing.T) {
-	playDesk(t, "A reward call of a worker that is cut off ends before items of an ended job must not run any more", func(w *deskWorld) {
-		defer w.work("one")()
-		w.engines.set("j", behaviour{hangs: true})
-		w.submit("j", 1)
+	runWorkerScenario(t, "A reward call of a disconnected worker ends before the time at which items of an ended job must have stopped", func(h *workerHarness) {
+		defer h.startWorker("one")()
+		h.engines.setBehavior("j", engineBehavior{hangs: true})
+		h.submit("j", 1)
 		time.Sleep(700 * time.Millisecond)
-		w.cut.Store(true)
+		h.disconnected.Store(true)
 		cutAt := time.Now()
 		time.Sleep(6 * time.Second)
-		calls := w.engines.of("reward-j-0")
+		calls := h.engines.executionsOf("reward-j-0")
 		So(calls, ShouldNotBeEmpty)
-		// The coordinator calls by itself once it has lost the worker.
+		// The coordinator makes the call itself once it has lost the worker.
 		So(calls[0].at, ShouldHappenBefore, cutAt)
 		So(calls[0].ended, ShouldHappenBefore, cutAt.Add(2500*time.Millisecond))
 	})
 }
 
-func TestTakeoverIsToldOnce(t *testing.T) {
-	playDesk(t, "A worker tells a later term once of a text that is whole and waits for its reward call", func(w *deskWorld) {
-		// The desks of the two terms meet the worker under different numbers.
-		w.work("first")()
-		defer w.work("one")()
-		w.engines.set("j", behaviour{hangs: true})
-		w.submit("j", 1)
+func TestTakeoverIsReportedOnce(t *testing.T) {
+	runWorkerScenario(t, "A worker reports a complete text that waits for its reward call once to a later term", func(h *workerHarness) {
+		// Makes the desks of the two terms number the worker differently.
+		h.startWorker("first")()
+		defer h.startWorker("one")()
+		h.engines.setBehavior("j", engineBehavior{hangs: true})
+		h.submit("j", 1)
 		time.Sleep(700 * time.Millisecond)
-		w.stop()
-		before := w.reports.Load()
-		w.lead(2)
+		h.stop()
+		before := h.reports.Load()
+		h.startTerm(2)
 		time.Sleep(time.Second)
-		So(w.reports.Load()-before, ShouldEqual, 1)
+		So(h.reports.Load()-before, ShouldEqual, 1)
 	})
 }
 
-// A reward call reached an engine 3.3 s after the end of its job was acknowledged.
+// Guards against a reward call sent after the end of its job was acknowledged.
 func TestEndWhileWorkerIsLost(t *testing.T) {
-	playDesk(t, "A worker that was lost while a job ended makes no reward call for it once it is met again", func(w *deskWorld) {
-		defer w.work("one")()
-		w.engines.set("j", behaviour{hangs: true})
-		w.submit("j", 1)
+	runWorkerScenario(t, "A worker that was lost while a job ended makes no reward call for it after reconnecting", func(h *workerHarness) {
+		defer h.startWorker("one")()
+		h.engines.setBehavior("j", engineBehavior{hangs: true})
+		h.submit("j", 1)
 		time.Sleep(700 * time.Millisecond)
-		So(w.engines.of("reward-j-0"), ShouldHaveLength, 1)
-		w.cut.Store(true)
+		So(h.engines.executionsOf("reward-j-0"), ShouldHaveLength, 1)
+		h.disconnected.Store(true)
 		time.Sleep(3 * time.Second)
-		So(w.runner.End(context.Background(), batch.Ref{ID: "j"}), ShouldBeNil)
-		w.cut.Store(false)
+		So(h.runner.End(context.Background(), batch.Ref{ID: "j"}), ShouldBeNil)
+		h.disconnected.Store(false)
 		time.Sleep(500 * time.Millisecond)
-		calls := len(w.engines.of("reward-j-0"))
+		calls := len(h.engines.executionsOf("reward-j-0"))
 		time.Sleep(10 * time.Second)
-		So(w.engines.of("reward-j-0"), ShouldHaveLength, calls)
-		for _, call := range w.engines.of("reward-j-0") {
+		So(h.engines.executionsOf("reward-j-0"), ShouldHaveLength, calls)
+		for _, call := range h.engines.executionsOf("reward-j-0") {
 			So(call.ended, ShouldNotBeZeroValue)
 		}
 	})
 }
 
-// handWorker is a worker whose calls the test makes.
-type handWorker struct {
+// scriptedWorker is a worker whose calls the test makes.
+type scriptedWorker struct {
 	desk  *itemwork.Desk
 	id    itemwork.WorkerID
 	term  int64
 	taken uint64
 }
 
-func (w *deskWorld) handWorker() *handWorker {
-	worker := &handWorker{desk: w.desk.Load(), id: itemwork.WorkerID{Name: "hand", Instance: "first"}}
+func (h *workerHarness) newScriptedWorker() *scriptedWorker {
+	worker := &scriptedWorker{desk: h.desk.Load(), id: itemwork.WorkerID{Name: "hand", Instance: "first"}}
 	worker.poll()
 	return worker
 }
 
-// poll returns the orders that are new.
-func (h *handWorker) poll() []itemwork.Order {
+// poll returns the new orders.
+func (h *scriptedWorker) poll() []itemwork.Order {
 	reply := h.desk.Poll(context.Background(), itemwork.PollRequest{Worker: h.id, Term: h.term, Taken: h.taken})
 	h.term = reply.Term
 	var orders []itemwork.Order
@@ -363,8 +363,8 @@
 	return orders
 }
 
-// stay polls for some seconds and returns the runs that were to begin.
-func (h *handWorker) stay(seconds int) (started []*itemwork.Assignment) {
+// pollFor polls for the given number of seconds and returns the runs to start.
+func (h *scriptedWorker) pollFor(seconds int) (started []*itemwork.Assignment) {
 	until := time.Now().Add(time.Duration(seconds) * time.Second)
 	for time.Now().Before(until) {
 		for _, order := range h.poll() {
@@ -376,13 +376,13 @@
 	return started
 }
 
-// report reports on a run with a text of one event, and returns the runs that are not wanted.
-func (h *handWorker) report(assignment *itemwork.Assignment, end itemwork.Verdict, judgement itemwork.Judgement) []itemwork.RunID {
-	return h.tell(assignment, end, judgement).Unwanted
+// report reports a run with a text of one event, and returns the unwanted runs.
+func (h *scriptedWorker) report(assignment *itemwork.Assignment, end itemwork.Verdict, judgement itemwork.Judgement) []itemwork.RunID {
+	return h.sendReport(assignment, end, judgement).Unwanted
 }
 
-// tell reports on a run with a text of one event, and returns the answer.
-func (h *handWorker) tell(assignment *itemwork.Assignment, end itemwork.Verdict, judgement itemwork.Judgement) itemwork.ReportReply {
+// sendReport reports a run with a text of one event, and returns the reply.
+func (h *scriptedWorker) sendReport(assignment *itemwork.Assignment, end itemwork.Verdict, judgement itemwork.Judgement) itemwork.ReportReply {
 	reply := h.desk.Report(itemwork.ReportRequest{Worker: h.id, Term: h.term, Reports: []itemwork.Report{{
 		Run:       assignment.Run,
 		Job:       assignment.Job,
@@ -399,66 +399,65 @@
 	return reply
 }
 
-// A step of Cairnpath grown's quiet day waited for one item of 80: an order to move the item met the end of its stream, and the
-// worker broke the reward call off.
+// Guards against an item left waiting when an order to move it arrives at the end of its stream and the worker aborts the reward call.
 func TestAbortedRewardCall(t *testing.T) {
-	playDesk(t, "A reward call that a worker broke off is made again", func(w *deskWorld) {
-		worker := w.handWorker()
-		w.submit("j", 1)
-		started := worker.stay(1)
+	runWorkerScenario(t, "A reward call that a worker aborted is made again", func(h *workerHarness) {
+		worker := h.newScriptedWorker()
+		h.submit("j", 1)
+		started := worker.pollFor(1)
 		So(len(started), ShouldEqual, 1)
 		worker.report(started[0], itemwork.VerdictWhole, itemwork.Judgement{})
 		worker.report(started[0], itemwork.VerdictWhole, itemwork.Judgement{State: itemwork.JudgementAborted})
-		results := w.results("j", time.Second)
+		results := h.results("j", time.Second)
 		So(results, ShouldResemble, []batch.Result{{ID: "j-0", Text: "e1", Versions: []int64{1}, Score: "signed"}})
-		So(len(w.engines.of("reward-j-0")), ShouldEqual, 1)
+		So(len(h.engines.executionsOf("reward-j-0")), ShouldEqual, 1)
 	})
 }
 
-// A step of Cairnpath's trouble-3 stood for 10 s: a worker that had been frozen took the orders that came afterwards for old ones.
-func TestWorkerMetAgain(t *testing.T) {
-	playDesk(t, "A worker that was lost and is met again gets orders that it does not take for old ones", func(w *deskWorld) {
-		worker := w.handWorker()
-		w.submit("j", 3)
-		So(len(worker.stay(1)), ShouldEqual, 3)
+// Guards against a worker that was paused discarding new orders as old ones.
+func TestReconnectedWorker(t *testing.T) {
+	runWorkerScenario(t, "A worker that was lost and reconnects does not discard new orders as old ones", func(h *workerHarness) {
+		worker := h.newScriptedWorker()
+		h.submit("j", 3)
+		So(len(worker.pollFor(1)), ShouldEqual, 3)
 		time.Sleep(5 * time.Second)
 		worker.poll()
-		w.submit("k", 1)
-		So(len(worker.stay(1)), ShouldEqual, 1)
+		h.submit("k", 1)
+		So(len(worker.pollFor(1)), ShouldEqual, 1)
 	})
-	playDesk(t, "A run of which a worker tells nothing is begun again elsewhere, though the worker calls", func(w *deskWorld) {
-		worker := w.handWorker()
-		w.submit("j", 1)
-		So(len(worker.stay(2)), ShouldEqual, 1)
-		So(len(worker.stay(3)), ShouldEqual, 1)
+	runWorkerScenario(t, "A run that a worker does not report is restarted, even though the worker polls", func(h *workerHarness) {
+		worker := h.newScriptedWorker()
+		h.submit("j", 1)
+		So(len(worker.pollFor(2)), ShouldEqual, 1)
+		So(len(worker.pollFor(3)), ShouldEqual, 1)
 	})
 }
 
-// Slots of engines stayed taken after the end of a job whose runs were told to be unwanted.
+// Guards against leaked engine slots after the end of a job whose runs are unwanted.
 func TestSlotsAfterEnd(t *testing.T) {
-	playDesk(t, "The slots of an ended job's runs are free once their streams have ended, and not before", func(w *deskWorld) {
-		w.state.SetEngineList([]*fleet.Engine{{ID: "a", Service: "pool", Slots: 1, Ready: true, Versions: map[string]int64{model: 1}}})
-		worker := w.handWorker()
-		w.submit("j", 1)
-		started := worker.stay(1)
+	runWorkerScenario(t, "The slots of an ended job's runs are freed once their streams have ended, and not before", func(h *workerHarness) {
+		h.state.SetEngineList([]*fleet.Engine{{ID: "a", Service: "pool", Slots: 1, Ready: true, Versions: map[string]int64{model: 1}}})
+		worker := h.newScriptedWorker()
+		h.submit("j", 1)
+		started := worker.pollFor(1)
 		So(len(started), ShouldEqual, 1)
-		So(w.runner.End(context.Background(), batch.Ref{ID: "j"}), ShouldBeNil)
+		So(h.runner.End(context.Background(), batch.Ref{ID: "j"}), ShouldBeNil)
 		So(worker.report(started[0], itemwork.VerdictNone, itemwork.Judgement{}), ShouldResemble, []itemwork.RunID{started[0].Run})
-		w.submit("k", 1)
-		So(worker.stay(1), ShouldBeEmpty)
+		h.submit("k", 1)
+		So(worker.pollFor(1), ShouldBeEmpty)
 		worker.report(started[0], itemwork.VerdictCanceled, itemwork.Judgement{})
-		So(len(worker.stay(1)), ShouldEqual, 1)
+		So(len(worker.pollFor(1)), ShouldEqual, 1)
 	})
-	playDesk(t, "A failure that is reported twice counts once", func(w *deskWorld) {
-		worker := w.handWorker()
-		w.submit("j", 1)
+	runWorkerScenario(t, "A failure that is reported twice counts once", func(h *workerHarness) {
+		worker := h.newScriptedWorker()
+		h.submit("j", 1)
 		for range 2 {
-			started := worker.stay(1)
+			started := worker.pollFor(1)
 			So(len(started), ShouldEqual, 1)
 			for range 3 {
 				worker.report(started[0], itemwork.VerdictFailed, itemwork.Judgement{})
 			}
 		}
-		So(w.results("j", time.Second), ShouldBeEmpty)
+		So(h.results("j", time.Second), ShouldBeEmpty)
 	})
 }
--- a/internal/batchrun/report.go
+++ b/internal/batchrun/report.go
@@ -24,26 +24,26 @@
 		return itemwork.Unwanted
 	}
 	if known.over {
-		return afterOver(report)
+		return dispositionOfOver(report)
 	}
-	known.heard = r.now()
-	r.observe(known, report)
+	known.lastReport = r.now()
+	r.observeReport(known, report)
 	if (known.current() || r.isDetached(known)) && !known.item.text.Merge(report) {
-		level.Warn(r.Logger).Log("msg", "report does not fit", "request", known.item.ID, "run", known.id, "from", report.From)
-		r.lose(known)
+		level.Warn(r.Logger).Log("msg", "report does not continue the item's text", "request", known.item.ID, "run", known.id, "from", report.From)
+		r.markLost(known)
 		return itemwork.Unwanted
 	}
 	if known.streaming && report.End.Verdict != itemwork.VerdictNone {
 		r.streamEnded(known, report)
 	}
 	if known.current() && report.Judgement.State != itemwork.JudgementOpen {
-		r.judged(known, report.Judgement)
+		r.rewardCallEnded(known, report.Judgement)
 	}
 	switch {
 	case r.isDetached(known):
 		return itemwork.TextOnly
 	case known.item.job.ended:
-		r.forgetRuns(known.item.job)
+		r.pruneRuns(known.item.job)
 		return itemwork.Unwanted
 	case known.released:
 		return itemwork.TextOnly
@@ -51,9 +51,9 @@
 	return itemwork.Wanted
 }
 
-// afterOver returns what a worker may do further with a run on which nothing relies any more. A stream need not go on, nor a reward call: the item
-// has another run, and nothing would end the call when its job ends. What has ended is kept, for a later term.
-func afterOver(report *itemwork.Report) itemwork.Disposition {
+// dispositionOfOver returns what a worker may do with a run that is over. It must stop a stream and make no reward call: the item has
+// another run, and nothing would cancel the call when the job ends. The worker keeps ended runs for a later term.
+func dispositionOfOver(report *itemwork.Report) itemwork.Disposition {
 	switch {
 	case report.End.Verdict == itemwork.VerdictNone:
 		return itemwork.Unwanted
@@ -63,23 +63,24 @@
 	return itemwork.Wanted
 }
 
-// observe records the weight version and pauses that a report shows of its engine. The mutex must be held.
-func (r *Runner) observe(known *run, report *itemwork.Report) {
+// observeReport records the engine's weight version and event intervals from a report. The mutex must be held.
+func (r *Runner) observeReport(known *run, report *itemwork.Report) {
 	if known.engine == "" {
 		return
 	}
 	record := r.engine(known.engine)
 	if report.Version > 0 {
-		record.noteVersion(known.item.job.Model, report.Version, r.now())
+		record.setVersion(known.item.job.Model, report.Version, r.now())
 	}
 	if report.PauseCount > 0 {
-		pause := report.Pauses / time.Duration(report.PauseCount)
-		record.observe(pause, report.PauseCount, r.now())
-		r.usual.observe(pause)
+		interval := report.Pauses / time.Duration(report.PauseCount)
+		record.observeInterval(interval, report.PauseCount, r.now())
+		r.fleetInterval.observe(interval)
 	}
 }
 
-// adopt takes over a run that an earlier term began or that was given up as lost. Nil if the run is of no use. The mutex must be held.
+// adopt takes over a run that an earlier term started or that was given up as lost. It returns nil if the run is of no use. The mutex must
+// be held.
 func (r *Runner) adopt(worker string, report *itemwork.Report) *run {
 	it := r.reportedItem(report)
 	if it == nil || report.From > 0 || (it.phase != phaseWaiting && it.phase != phaseRunning) {
@@ -88,7 +89,7 @@
 	j := it.job
 	var text itemwork.Text
 	text.Merge(report)
-	// A worker that is heard late may hold more than what was begun anew meanwhile.
+	// A worker that reports late may hold more than the run that replaced it.
 	if it.phase == phaseRunning && text.Len() <= it.text.Len() {
 		return nil
 	}
@@ -100,11 +101,11 @@
 	r.Observer.HandedOver(HandOverAdopted)
 	it.stop()
 	it.text = text
-	adopted := r.newRun(report.Run, it, report.Engine)
-	r.hand(adopted, worker)
+	adopted := r.addRun(report.Run, it, report.Engine)
+	r.assignWorker(adopted, worker)
 	adopted.streaming, adopted.released = true, report.Released
 	if j.ID != report.Job && !report.Released {
-		// The reward call is that of the later job's item.
+		// The later job's item makes the reward call.
 		adopted.release()
 		adopted.released = true
 	}
@@ -113,9 +114,8 @@
 	return adopted
 }
 
-// reportedItem returns the item that the text of a run belongs to; nil if there is none. The text of a run that continued after the end of its job
-// belongs to the item of that name in a later job of the tenant. Otherwise a change of coordinator would begin the longest texts anew, which made a
-// step of 88 items last 12.4 s instead of 6 s.
+// reportedItem returns the item that the text of a run belongs to, or nil. The text of a run that outlived its job belongs to the item of
+// that name in a later job of the tenant, so that a change of coordinator does not restart carried-over texts.
 func (r *Runner) reportedItem(report *itemwork.Report) *item {
 	if j, ok := r.jobs[report.Job]; ok && !j.ended {
 		return j.byID[report.Item]
--- a/internal/batchrun/residency.go
+++ b/internal/batchrun/residency.go
@@ -14,24 +14,23 @@
 	"github.com/covelink/covelink/internal/placement"
 )
 
-// mayKeep reports whether this process's region may hold a job's bodies and texts.
-func (r *Runner) mayKeep(j *batch.Job) bool {
+// mayStore reports whether this process's region may store a job's bodies and texts.
+func (r *Runner) mayStore(j *batch.Job) bool {
 	view := r.State.View()
 	return jobresidency.Whole(view.Routes, j).Allows(view.Topology.Region(r.Zone))
 }
 
-// boundsUnknown reports whether jobs may be bound to regions without this process knowing: the deployment has regions and no route table has
-// arrived yet.
-func (r *Runner) boundsUnknown() bool {
+// residencyUnknown reports whether the regions allowed for jobs are unknown: the deployment has regions but no route table has arrived yet.
+func (r *Runner) residencyUnknown() bool {
 	view := r.State.View()
 	return view.Routes == nil && view.Topology.Regional()
 }
 
-// awaitBounds waits until the bounds of jobs are known. False if ctx ends first.
-func (r *Runner) awaitBounds(ctx context.Context) bool {
+// awaitResidency waits until the regions allowed for jobs are known. It returns false if ctx ends first.
+func (r *Runner) awaitResidency(ctx context.Context) bool {
 	for {
 		_, changed := r.State.Changed()
-		if !r.boundsUnknown() {
+		if !r.residencyUnknown() {
 			return true
 		}
 		select {
@@ -42,25 +41,25 @@
 	}
 }
 
-// logExcluded logs why this process does not keep or read a job.
+// logExcluded logs why this process does not store or load a job.
 func (r *Runner) logExcluded(message string, j *batch.Job) {
 	view := r.State.View()
 	level.Warn(r.Logger).Log("msg", message, "request", j.ID, "tenant", j.Tenant, "region", view.Topology.Region(r.Zone),
 		"allowed", fmt.Sprint(jobresidency.Whole(view.Routes, j).Sets()))
 }
 
-// readmit reads jobs that were withheld when the term began, once a later route table allows this process to. It returns when none is left or ctx
-// ends.
-func (r *Runner) readmit(ctx context.Context, withheld []batch.Job) {
+// loadWithheld loads jobs that were withheld at the start of the term, once a later route table allows it. It returns when none is left or
+// ctx ends.
+func (r *Runner) loadWithheld(ctx context.Context, withheld []batch.Job) {
 	for ctx.Err() == nil && len(withheld) > 0 {
 		_, changed := r.State.Changed()
 		var left []batch.Job
 		for i := range withheld {
-			if !r.mayKeep(&withheld[i]) {
+			if !r.mayStore(&withheld[i]) {
 				left = append(left, withheld[i])
 				continue
 			}
-			if _, err := r.lookUpAny(ctx, withheld[i].ID); err != nil && !errors.Is(err, batch.ErrNotFound) {
+			if _, err := r.loadJob(ctx, withheld[i].ID); err != nil && !errors.Is(err, batch.ErrNotFound) {
 				level.Warn(r.Logger).Log("msg", "job not read", "request", withheld[i].ID, "err", err)
 				left = append(left, withheld[i])
 			}
@@ -73,7 +72,7 @@
 	}
 }
 
-// runResidency returns the residency of the process that carries out an item's run and its reward call.
+// runResidency returns the residency required of the process that executes an item's run and its reward call.
 func (r *Runner) runResidency(it *item) placement.Residency {
 	return jobresidency.OfRun(r.State.View().Routes, &it.job.Job, &it.Item)
 }
@@ -83,33 +82,33 @@
 	return residency.Allows(r.State.View().Topology.Region(r.Zone))
 }
 
-// canCarry reports whether a worker or this process may carry out an item's run. The mutex must be held.
-func (r *Runner) canCarry(it *item) bool {
+// canExecute reports whether a worker or this process may execute an item's run. The mutex must be held.
+func (r *Runner) canExecute(it *item) bool {
 	residency := r.runResidency(it)
 	if r.allowedHere(residency) || r.Desk != nil && r.Desk.Reaches(residency) {
 		return true
 	}
 	if !it.job.noWorkerLogged {
 		it.job.noWorkerLogged = true
-		r.logExcluded("items wait, no worker is in an allowed region", &it.job.Job)
+		r.logExcluded("items waiting: no worker in an allowed region", &it.job.Job)
 	}
 	return false
 }
 
-// carry hands an assignment to a worker near the engine, or to this process if there is none, where the item's residency allows. False if neither
-// may carry it out. The desk has no workers once the term has ended: this process would then send what the next term sends again. The mutex
-// must be held.
-func (r *Runner) carry(begun *run, engine *fleet.Engine, assignment *itemwork.Assignment) bool {
-	residency := r.runResidency(begun.item)
+// dispatch assigns a run to a worker near the engine, or to this process if there is none and the residency allows it. It returns false if
+// neither may execute the run. The desk has no workers once the term has ended; the run is then left to the next term instead of being sent
+// twice. The mutex must be held.
+func (r *Runner) dispatch(newRun *run, engine *fleet.Engine, assignment *itemwork.Assignment) bool {
+	residency := r.runResidency(newRun.item)
 	if r.Desk != nil {
 		if worker, ok := r.Desk.Assign(residency, engine, assignment); ok {
-			r.hand(begun, worker)
+			r.assignWorker(newRun, worker)
 			return true
 		}
 	}
 	if !r.leads() || !r.allowedHere(residency) {
 		return false
 	}
-	r.runHere(begun, assignment)
+	r.runLocally(newRun, assignment)
 	return true
 }
--- a/internal/batchrun/residency_test.go
+++ b/internal/batchrun/residency_test.go
@@ -13,23 +13,23 @@
 	"github.com/covelink/covelink/internal/routing"
 )
 
-// playRegions plays a scene with a coordinator in the north, engines in the south, and routes that are not bound at first.
-func playRegions(t *testing.T, name string, scene func(w *deskWorld)) {
+// runRegionScenario runs a scenario with a coordinator in region north, engines in south, and routes without region bounds at first.
+func runRegionScenario(t *testing.T, name string, scenario func(h *workerHarness)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := &deskWorld{world: newWorld(routing.Route{}), workerZone: "s"}
-		w.stop()
-		w.zone = "n"
-		w.state.SetTopology(fleet.NewTopology(map[string]string{"n": "north", "s": "south"}))
-		w.lead(1)
-		defer func() { w.stop() }()
-		Convey(name, t, func() { scene(w) })
+		h := &workerHarness{harness: newHarness(routing.Route{}), workerZone: "s"}
+		h.stop()
+		h.zone = "n"
+		h.state.SetTopology(fleet.NewTopology(map[string]string{"n": "north", "s": "south"}))
+		h.startTerm(1)
+		defer func() { h.stop() }()
+		Convey(name, t, func() { scenario(h) })
 	})
 }
 
 // bind sets the allowed regions of the items' route and of the judges' route.
-func (w *deskWorld) bind(items, judges []string) {
-	old := w.state.View().Routes
+func (h *workerHarness) bind(items, judges []string) {
+	old := h.state.View().Routes
 	var routes []routing.Route
 	for _, route := range old.Routes() {
 		bound := *route
@@ -40,74 +40,74 @@
 		}
 		routes = append(routes, bound)
 	}
-	w.state.SetRoutes(routing.NewTable(old.Version+1, routes, []routing.Service{{Name: "pool"}, {Name: "judges"}}, routing.Limits{}))
+	h.state.SetRoutes(routing.NewTable(old.Version+1, routes, []routing.Service{{Name: "pool"}, {Name: "judges"}}, routing.Limits{}))
 }
 
-// listEngines lists the engines, in the south.
-func (w *deskWorld) listEngines() {
-	w.state.SetEngineList([]*fleet.Engine{
+// listEngines lists engines in region south.
+func (h *workerHarness) listEngines() {
+	h.state.SetEngineList([]*fleet.Engine{
 		{ID: "a", Service: "pool", Zone: "s", Slots: 8, Ready: true, Versions: map[string]int64{model: 1}},
 		{ID: "j", Service: "judges", Zone: "s", Slots: 8, Ready: true},
 	})
 }
 
-// shouldRunInSouth checks that the three items of job j do not run while the only worker is in the north, and that a worker in the south runs them.
-func (w *deskWorld) shouldRunInSouth() {
-	w.listEngines()
-	w.workerZone = "n"
-	defer w.work("north")()
-	So(w.results("j", 5*time.Second), ShouldBeEmpty)
-	So(w.engines.count(), ShouldEqual, 0)
-	w.workerZone = "s"
-	defer w.work("south")()
-	w.shouldBeWhole(w.results("j", 5*time.Second), 3)
+// shouldRunInSouth checks that the three items of job j do not run while the only worker is in north, and that a worker in south runs them.
+func (h *workerHarness) shouldRunInSouth() {
+	h.listEngines()
+	h.workerZone = "n"
+	defer h.startWorker("north")()
+	So(h.results("j", 5*time.Second), ShouldBeEmpty)
+	So(h.engines.count(), ShouldEqual, 0)
+	h.workerZone = "s"
+	defer h.startWorker("south")()
+	h.shouldBeWhole(h.results("j", 5*time.Second), 3)
 }
 
 func TestResidencyOfRuns(t *testing.T) {
 	south := []string{"south"}
-	playRegions(t, "Items that this process may not run wait for a worker that may, and no worker elsewhere gets them", func(w *deskWorld) {
-		w.state.SetEngineList(nil)
-		w.submit("j", 3)
-		w.bind(south, nil)
-		w.shouldRunInSouth()
-		So(len(w.engines.of("j-0")), ShouldEqual, 1)
+	runRegionScenario(t, "Items that this process may not run wait for a worker that may; workers elsewhere do not receive them", func(h *workerHarness) {
+		h.state.SetEngineList(nil)
+		h.submit("j", 3)
+		h.bind(south, nil)
+		h.shouldRunInSouth()
+		So(len(h.engines.executionsOf("j-0")), ShouldEqual, 1)
 	})
-	playRegions(t, "A reward's route binds who carries the run out as the item's does", func(w *deskWorld) {
-		w.state.SetEngineList(nil)
-		w.submit("j", 3)
-		w.bind(nil, south)
-		w.shouldRunInSouth()
+	runRegionScenario(t, "The reward's route restricts which worker executes the run, like the item's route", func(h *workerHarness) {
+		h.state.SetEngineList(nil)
+		h.submit("j", 3)
+		h.bind(nil, south)
+		h.shouldRunInSouth()
 	})
-	playRegions(t, "A reward call that was broken off is made by a worker that may, not by this process", func(w *deskWorld) {
-		w.state.SetEngineList(nil)
-		w.submit("j", 1)
-		w.bind(south, nil)
-		w.listEngines()
-		w.engines.set("j", behaviour{hangs: true})
-		stop := w.work("south")
-		So(w.results("j", 2*time.Second), ShouldBeEmpty)
-		calls := len(w.engines.of("reward-j-0"))
+	runRegionScenario(t, "An aborted reward call is made by a worker in an allowed region, not by this process", func(h *workerHarness) {
+		h.state.SetEngineList(nil)
+		h.submit("j", 1)
+		h.bind(south, nil)
+		h.listEngines()
+		h.engines.setBehavior("j", engineBehavior{hangs: true})
+		stop := h.startWorker("south")
+		So(h.results("j", 2*time.Second), ShouldBeEmpty)
+		calls := len(h.engines.executionsOf("reward-j-0"))
 		So(calls, ShouldBeGreaterThan, 0)
 		stop()
-		w.engines.set("j", behaviour{})
-		So(w.results("j", 5*time.Second), ShouldBeEmpty)
-		So(len(w.engines.of("reward-j-0")), ShouldEqual, calls)
-		defer w.work("south again")()
-		w.shouldBeWhole(w.results("j", 5*time.Second), 1)
-		So(len(w.engines.of("reward-j-0")), ShouldEqual, calls+1)
-		So(len(w.engines.of("j-0")), ShouldEqual, 1)
+		h.engines.setBehavior("j", engineBehavior{})
+		So(h.results("j", 5*time.Second), ShouldBeEmpty)
+		So(len(h.engines.executionsOf("reward-j-0")), ShouldEqual, calls)
+		defer h.startWorker("south again")()
+		h.shouldBeWhole(h.results("j", 5*time.Second), 1)
+		So(len(h.engines.executionsOf("reward-j-0")), ShouldEqual, calls+1)
+		So(len(h.engines.executionsOf("j-0")), ShouldEqual, 1)
 	})
-	playRegions(t, "A job whose reward calls may not be in this region is refused", func(w *deskWorld) {
-		w.bind(nil, south)
-		So(w.runner.Submit(context.Background(), newJob("j", 2)), ShouldEqual, batch.ErrExcluded)
+	runRegionScenario(t, "A job whose reward calls may not be in this region is refused", func(h *workerHarness) {
+		h.bind(nil, south)
+		So(h.runner.Submit(context.Background(), newJob("j", 2)), ShouldEqual, batch.ErrExcluded)
 		withoutReward := newJob("k", 1)
 		withoutReward.Items[0].Reward = nil
-		So(w.runner.Submit(context.Background(), withoutReward), ShouldBeNil)
+		So(h.runner.Submit(context.Background(), withoutReward), ShouldBeNil)
 	})
-	playRegions(t, "Before the route table is known no job is taken, as its bounds are not known", func(w *deskWorld) {
-		w.stop()
-		w.state.Reset()
-		w.lead(2)
-		So(w.runner.Submit(context.Background(), newJob("j", 2)), ShouldEqual, batch.ErrRefused)
+	runRegionScenario(t, "No job is accepted before the route table is known, because its allowed regions are unknown", func(h *workerHarness) {
+		h.stop()
+		h.state.Reset()
+		h.startTerm(2)
+		So(h.runner.Submit(context.Background(), newJob("j", 2)), ShouldEqual, batch.ErrRefused)
 	})
 }
--- a/internal/batchrun/retention.go
+++ b/internal/batchrun/retention.go
@@ -16,34 +16,34 @@
 const (
 	// DefaultRetention is how long a job is kept after its end.
 	DefaultRetention = 2 * time.Minute
-	// retentionInterval is the pause between two looks for jobs whose time is over.
+	// retentionInterval is the delay between two scans for expired jobs.
 	retentionInterval = 10 * time.Second
 	// removeTimeout bounds the removal of one job.
 	removeTimeout = 10 * time.Second
 )
 
-// retain removes jobs, from memory and from the store, once their retention is over, until ctx ends. The time since the end of
-// jobs that ended in an earlier term is not known: theirs counts from the start of this one.
-func (r *Runner) retain(ctx context.Context) {
+// enforceRetention removes expired jobs from memory and from the store until ctx ends. For jobs that ended in an earlier term, whose end
+// time is unknown, retention counts from the start of this term.
+func (r *Runner) enforceRetention(ctx context.Context) {
 	for ctx.Err() == nil {
 		pause.For(ctx, retentionInterval)
-		r.forgetEngines()
-		for _, id := range r.outdated() {
+		r.pruneEngines()
+		for _, id := range r.expiredJobs() {
 			if ctx.Err() == nil && r.remove(ctx, id) {
 				r.mu.Lock()
-				delete(r.ends, id)
+				delete(r.endedAt, id)
 				r.mu.Unlock()
 			}
 		}
 	}
 }
 
-// outdated returns the IDs of the jobs whose retention is over.
-func (r *Runner) outdated() []string {
+// expiredJobs returns the IDs of the jobs whose retention has passed.
+func (r *Runner) expiredJobs() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var ids []string
-	for id, end := range r.ends {
+	for id, end := range r.endedAt {
 		if r.now().Sub(end) >= r.Retention {
 			ids = append(ids, id)
 		}
@@ -51,11 +51,11 @@
 	return ids
 }
 
-// noteEnd takes in that a job's end is kept for good, and drops the longest ended jobs from memory while they are too large
-// together. The mutex must be held.
-func (r *Runner) noteEnd(j *job) {
-	if _, known := r.ends[j.ID]; !known {
-		r.ends[j.ID] = r.now()
+// recordEnd records the durable end of a job, and evicts the oldest ended jobs from memory while their results exceed MaxEndedBytes. The
+// mutex must be held.
+func (r *Runner) recordEnd(j *job) {
+	if _, known := r.endedAt[j.ID]; !known {
+		r.endedAt[j.ID] = r.now()
 	}
 	r.endedBytes += j.resultBytes()
 	for _, old := range slices.Clone(r.order) {
@@ -63,19 +63,19 @@
 			return
 		}
 		if old.sealed && old != j {
-			r.drop(old)
+			r.evict(old)
 		}
 	}
 }
 
-// drop takes an ended job out of memory. The mutex must be held.
-func (r *Runner) drop(j *job) {
+// evict removes an ended job from memory. The mutex must be held.
+func (r *Runner) evict(j *job) {
 	delete(r.jobs, j.ID)
 	r.order = slices.DeleteFunc(r.order, func(known *job) bool { return known == j })
 	r.endedBytes -= j.resultBytes()
 }
 
-// resultBytes is the size of the texts of a job's results.
+// resultBytes returns the size of the texts of a job's results.
 func (j *job) resultBytes() int {
 	size := 0
 	for _, result := range j.listed {
@@ -84,8 +84,8 @@
 	return size
 }
 
-// forgetEngines drops the records of engines that are not listed any more.
-func (r *Runner) forgetEngines() {
+// pruneEngines drops the records of engines that are no longer listed.
+func (r *Runner) pruneEngines() {
 	listed := r.State.View().Engines
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -94,17 +94,17 @@
 			delete(r.engines, id)
 		}
 	}
-	r.forgetHolders()
+	r.prunePromptHolders()
 }
 
-// remove forgets a job and deletes it. It reports whether the job is gone.
+// remove deletes a job from memory and from the store. It returns true if nothing is left for this process to remove.
 func (r *Runner) remove(ctx context.Context, id string) bool {
 	ctx, cancel := context.WithTimeout(ctx, removeTimeout)
 	defer cancel()
 	r.mu.Lock()
 	log := r.log
 	if known, ok := r.jobs[id]; ok {
-		r.drop(known)
+		r.evict(known)
 	}
 	r.mu.Unlock()
 	stored, err := log.Find(ctx, id)
@@ -113,12 +113,12 @@
 	}
 	if errors.Is(err, batchlog.ErrWithheld) {
 		// A later term in an allowed region removes it.
-		level.Info(r.Logger).Log("msg", "job not removed", "request", id, "err", err)
+		level.Info(r.Logger).Log("msg", "job not removed: residency excludes this region", "request", id, "err", err)
 		return true
 	}
 	if err == nil {
 		err = stored.Remove(ctx)
 	}
-	level.Info(r.Logger).Log("msg", "job removed", "request", id, "err", err)
+	level.Info(r.Logger).Log("msg", "job removal finished", "request", id, "err", err)
 	return err == nil
 }
--- a/internal/batchrun/reuse.go
+++ b/internal/batchrun/reuse.go
@@ -4,20 +4,20 @@
 	"github.com/covelink/covelink/internal/itemwork"
 )
 
-// reuse gives an item what an ended job has kept of its text, or its run, if that fits.
+// reuse gives an item the text, or the detached run, that an ended job left of it, if the job's bounds allow it.
 func (r *Runner) reuse(it *item) {
 	if earlier := r.earlierJob(it); earlier != nil {
-		it.carried = true
-		r.noteReturn(it.job.Model, earlier.MinVersion, it.job.MinVersion)
+		it.carriedOver = true
+		r.recordCarryOver(it.job.Model, earlier.MinVersion, it.job.MinVersion)
 	}
 	if it.phase != phaseWaiting {
 		return
 	}
-	if detached, ok := r.detached[it.textName()]; ok {
+	if detached, ok := r.detached[it.textKey()]; ok {
 		r.attach(detached, it)
 		return
 	}
-	kept, ok := r.kept.take(it.textName())
+	kept, ok := r.unfinished.take(it.textKey())
 	if !ok {
 		return
 	}
@@ -27,7 +27,7 @@
 	}
 }
 
-// earlierJob returns the ended job from which an item comes again, or nil.
+// earlierJob returns the ended job from which an item is carried over, or nil.
 func (r *Runner) earlierJob(it *item) *job {
 	for _, earlier := range r.order {
 		if !earlier.ended || !earlier.precedes(it.job, 2*stepsAhead) {
@@ -40,14 +40,14 @@
 	return nil
 }
 
-// precedes reports whether a job is of one of so many steps before another of the same tenant and model.
+// precedes reports whether a job belongs to one of the given number of steps before another job of the same tenant and model.
 func (j *job) precedes(other *job, steps int64) bool {
 	return j.Tenant == other.Tenant && j.Model == other.Model && j.Step < other.Step && j.Step >= other.Step-steps
 }
 
-// knowsEarlier reports whether this process knows the items of the jobs from which groups may come again in a job: those of the
-// steps before it. It does not if they ended in an earlier term.
-func (r *Runner) knowsEarlier(j *job) bool {
+// hasEarlierJobs reports whether this process has the items of all jobs from which groups may be carried over into a job. It lacks those
+// that ended in an earlier term.
+func (r *Runner) hasEarlierJobs(j *job) bool {
 	missing := min(j.Step, stepsAhead)
 	for _, known := range r.order {
 		if known.precedes(j, stepsAhead) && len(known.items) > 0 {
@@ -57,5 +57,5 @@
 	return missing <= 0
 }
 
-// stepsAhead is how many steps before a trainer's newest job may still be open: it asks for one while another lasts.
+// stepsAhead is how many steps a trainer may submit ahead of its oldest open job.
 const stepsAhead = 2
--- a/internal/batchrun/run.go
+++ b/internal/batchrun/run.go
@@ -13,18 +13,17 @@
 )
 
 const (
-	// failurePause is the pause before an item that failed is tried again.
-	failurePause = 50 * time.Millisecond
-	// adoptTime is how long the items of an earlier term wait for workers that hold a run of them: nine workers tell it some 110 ms
-	// after a term has begun, seventy within 400 ms.
-	adoptTime = 400 * time.Millisecond
-	// withheldPause is the pause before an item that a worker did not send to its engine, because the placement filter forbade it there, is placed
-	// again. This process learns what the worker knew within one to three seconds, and until then may choose the same engine again.
-	withheldPause = 250 * time.Millisecond
-	// lostVerdict is the name in logs and metrics of runs whose worker is not heard of any more.
+	// retryDelay is the delay before a failed item is tried again.
+	retryDelay = 50 * time.Millisecond
+	// adoptionWait is how long items of an earlier term wait for workers that still run them to report.
+	adoptionWait = 400 * time.Millisecond
+	// withheldRetryDelay is the delay before an item is placed again after a worker's placement filter withheld it. It gives this process
+	// time to learn what the worker knows, instead of choosing the same engine again.
+	withheldRetryDelay = 250 * time.Millisecond
+	// lostVerdict is the verdict in logs and metrics of runs whose worker no longer reports.
 	lostVerdict = "lost"
-	// maxUnheard is how long a stream at a worker may go without a report: longer than an engine may be silent.
-	maxUnheard = 3500 * time.Millisecond
+	// reportTimeout is how long a stream at a worker may go without a report. It exceeds the time that an engine may be silent.
+	reportTimeout = 3500 * time.Millisecond
 )
 
 // run is one run of an item at an engine. The runner's mutex guards it.
@@ -32,49 +31,49 @@
 	id     itemwork.RunID
 	item   *item
 	engine string
-	// zone is that of the engine; empty while it is not known.
+	// zone is the engine's zone; empty while unknown.
 	zone string
-	// worker carries the run out; empty if this process does.
+	// worker executes the run; empty if this process does.
 	worker string
 	cancel func()
-	// release makes the run end without a reward call, and released is true once it was called.
+	// release makes the run end without a reward call. released is true once it was called.
 	release  func()
 	released bool
-	// resumed is the number of events that the text had when the run began.
-	resumed int
-	// detachedAt is when the job of the run ended while it went on.
+	// initialEvents is the number of events in the text when the run started.
+	initialEvents int
+	// detachedAt is when the run's job ended while the run continued.
 	detachedAt time.Time
 	started    time.Time
-	// heard is when the run was last reported.
-	heard time.Time
-	// streaming is true until the stream has ended, and over once nothing more is expected of the run.
+	// lastReport is when the run was last reported.
+	lastReport time.Time
+	// streaming is true until the stream has ended. over is true once nothing more is expected of the run.
 	streaming bool
 	over      bool
-	// apart is true if the run shares no engine with others for which it is true.
-	apart bool
-	// moving is true once the run was ended so that the item goes on elsewhere.
+	// isolated is true if the run shares no engine with other isolated runs.
+	isolated bool
+	// moving is true once the run was canceled so that its item resumes elsewhere, or because its detachedTTL passed.
 	moving bool
 }
 
-// current reports whether the item still relies on the run.
-func (current *run) current() bool {
-	it := current.item
-	return it.run == current && !it.job.ended && (it.phase == phaseRunning || it.phase == phaseJudging)
+// current reports whether the item still depends on the run.
+func (rn *run) current() bool {
+	it := rn.item
+	return it.run == rn && !it.job.ended && (it.phase == phaseRunning || it.phase == phaseScoring)
 }
 
-// placing are the conditions under which a run is placed at an engine.
-type placing struct {
-	// apart is true if the run shares the engine with no other run for which it is true.
-	apart bool
-	// within is how soon the run must be sent; zero for no bound.
-	within time.Duration
+// startOptions holds the conditions under which a run is started at an engine.
+type startOptions struct {
+	// isolated is true if the run must not share the engine with other isolated runs.
+	isolated bool
+	// sendWithin is the time limit for sending the run; zero for none.
+	sendWithin time.Duration
 }
 
-// start begins a run at an engine. The mutex must be held.
-func (r *Runner) start(it *item, route *routing.Route, engine *fleet.Engine, how placing) {
+// start starts a run at an engine. The mutex must be held.
+func (r *Runner) start(it *item, route *routing.Route, engine *fleet.Engine, options startOptions) {
 	record := r.engine(engine.ID)
 	record.running++
-	r.noteHolder(it.Prefix, engine.ID, record)
+	r.addPromptHolder(it.Prefix, engine.ID, record)
 	assignment := r.assignment(it, itemwork.Bounds{MinVersion: it.job.MinVersion, SingleVersion: route.SingleVersion})
 	assignment.Engine = itemwork.Target{
 		ID:      engine.ID,
@@ -87,22 +86,22 @@
 	if route.MaxQueue > 0 {
 		assignment.TimeLeft = max(route.MaxQueue-r.now().Sub(it.job.accepted), time.Second)
 	}
-	begun := r.newRun(assignment.Run, it, engine.ID)
-	begun.streaming, begun.zone = true, engine.Zone
-	if how.apart {
-		begun.apart = true
-		record.apart++
+	newRun := r.addRun(assignment.Run, it, engine.ID)
+	newRun.streaming, newRun.zone = true, engine.Zone
+	if options.isolated {
+		newRun.isolated = true
+		record.isolated++
 	}
 	it.phase = phaseRunning
-	if how.within > 0 {
-		assignment.LeaveBy = boottime.Now().Add(how.within)
+	if options.sendWithin > 0 {
+		assignment.LeaveBy = boottime.Now().Add(options.sendWithin)
 	}
-	if !r.carry(begun, engine, assignment) {
-		r.lose(begun)
+	if !r.dispatch(newRun, engine, assignment) {
+		r.markLost(newRun)
 	}
 }
 
-// assignment returns a run of an item, without an engine. The mutex must be held.
+// assignment returns a new run of an item, without an engine. The mutex must be held.
 func (r *Runner) assignment(it *item, bounds itemwork.Bounds) *itemwork.Assignment {
 	r.runCount++
 	return &itemwork.Assignment{
@@ -122,24 +121,24 @@
 	}
 }
 
-// newRun notes a run on which an item relies. The mutex must be held.
-func (r *Runner) newRun(id itemwork.RunID, it *item, engine string) *run {
-	begun := &run{id: id, item: it, engine: engine, started: r.now(), heard: r.now(), cancel: func() {}, release: func() {}, resumed: it.text.Len()}
-	it.run = begun
+// addRun records a run that an item depends on. The mutex must be held.
+func (r *Runner) addRun(id itemwork.RunID, it *item, engine string) *run {
+	newRun := &run{id: id, item: it, engine: engine, started: r.now(), lastReport: r.now(), cancel: func() {}, release: func() {}, initialEvents: it.text.Len()}
+	it.run = newRun
 	it.job.runs = append(it.job.runs, id)
-	r.runs[id] = begun
-	return begun
+	r.runs[id] = newRun
+	return newRun
 }
 
-// hand notes the worker that carries a run out.
-func (r *Runner) hand(handed *run, worker string) {
-	handed.worker = worker
-	handed.cancel = func() { r.Desk.Cancel(worker, handed.id) }
-	handed.release = func() { r.Desk.Release(worker, handed.id) }
+// assignWorker records the worker that executes a run.
+func (r *Runner) assignWorker(assigned *run, worker string) {
+	assigned.worker = worker
+	assigned.cancel = func() { r.Desk.Cancel(worker, assigned.id) }
+	assigned.release = func() { r.Desk.Release(worker, assigned.id) }
 }
 
-// forgetRuns drops the runs of an ended job whose streams have ended. The mutex must be held.
-func (r *Runner) forgetRuns(j *job) {
+// pruneRuns drops the runs of an ended job whose streams have ended. The mutex must be held.
+func (r *Runner) pruneRuns(j *job) {
 	j.runs = slices.DeleteFunc(j.runs, func(id itemwork.RunID) bool {
 		if known := r.runs[id]; known != nil && known.streaming {
 			return false
@@ -149,38 +148,38 @@
 	})
 }
 
-// runHere carries a run out in this process. The mutex must be held.
-func (r *Runner) runHere(begun *run, assignment *itemwork.Assignment) {
+// runLocally executes a run in this process. The mutex must be held.
+func (r *Runner) runLocally(newRun *run, assignment *itemwork.Assignment) {
 	ctx, cancel := context.WithCancel(r.term)
-	sink := &localSink{runner: r, assignment: assignment, told: assignment.Text.Len(), cancel: cancel}
-	begun.cancel = cancel
-	begun.release = func() { sink.released.Store(true) }
-	r.running.Go(func() {
+	sink := &localSink{runner: r, assignment: assignment, reported: assignment.Text.Len(), cancel: cancel}
+	newRun.cancel = cancel
+	newRun.release = func() { sink.released.Store(true) }
+	r.goroutines.Go(func() {
 		defer cancel()
 		r.executor.Run(ctx, assignment, sink)
 	})
 }
 
-// judgeHere makes the reward call of an item whose text is whole, or lists the item if it needs none. If the item's residency excludes this process's
-// region, a worker makes the call; without such a worker the item waits. The mutex must be held.
-func (r *Runner) judgeHere(it *item) {
-	it.phase = phaseJudging
+// startRewardCall makes the reward call of an item whose text is complete, or lists the result if the item has none. If the item's
+// residency excludes this process's region, a worker makes the call; without such a worker the item waits. The mutex must be held.
+func (r *Runner) startRewardCall(it *item) {
+	it.phase = phaseScoring
 	if it.Reward == nil {
-		r.list(it, it.result(""))
+		r.listResult(it, it.result(""))
 		return
 	}
-	if !r.canCarry(it) {
+	if !r.canExecute(it) {
 		it.phase = phaseWaiting
 		return
 	}
 	assignment := r.assignment(it, itemwork.Bounds{})
-	begun := r.newRun(assignment.Run, it, "")
+	newRun := r.addRun(assignment.Run, it, "")
 	if r.allowedHere(r.runResidency(it)) {
-		r.runHere(begun, assignment)
+		r.runLocally(newRun, assignment)
 		return
 	}
-	if !r.carry(begun, &fleet.Engine{ID: it.ID}, assignment) {
-		begun.over = true
+	if !r.dispatch(newRun, &fleet.Engine{ID: it.ID}, assignment) {
+		newRun.over = true
 		it.phase = phaseWaiting
 	}
 }
--- a/internal/batchrun/run_end.go
+++ b/internal/batchrun/run_end.go
@@ -9,26 +9,26 @@
 	"github.com/covelink/covelink/internal/itemwork"
 )
 
-// streamEnded frees the engine of a run whose stream has ended, and decides what comes next for the item. The mutex must be held.
+// streamEnded frees the engine slot of a run whose stream has ended, and determines the next step of the item. The mutex must be held.
 func (r *Runner) streamEnded(ended *run, report *itemwork.Report) {
 	it := ended.item
 	verdict := report.End.Verdict
 	ended.streaming = false
 	if report.End.Withheld {
-		// The engine got nothing, so the verdict says nothing about it.
+		// The engine received nothing, so the verdict does not apply to it.
 		r.engine(ended.engine).running--
 	} else {
-		r.engine(ended.engine).end(verdict, r.now())
+		r.engine(ended.engine).attemptEnded(verdict, r.now())
 	}
-	r.leaveEngine(ended)
+	r.endIsolation(ended)
 	r.Observer.AttemptEnded(verdict.String(), report.End.Took)
 	r.logStreamEnd(ended, report)
-	r.poke()
+	r.wakeScheduler()
 	switch {
 	case r.isDetached(ended):
 		ended.over = true
 		it.text.Whole = verdict == itemwork.VerdictWhole
-		r.settle(ended)
+		r.endDetached(ended)
 	case ended.current():
 		ended.over = verdict != itemwork.VerdictWhole
 		r.continueItem(ended, report.End)
@@ -37,7 +37,7 @@
 	}
 }
 
-// logStreamEnd logs the end of a stream; at level debug if there is nothing to look at.
+// logStreamEnd logs the end of a stream, at debug level if it is complete or canceled.
 func (r *Runner) logStreamEnd(ended *run, report *itemwork.Report) {
 	it := ended.item
 	verdict := report.End.Verdict
@@ -50,7 +50,7 @@
 		"err", report.End.Cause)
 }
 
-// continueItem decides by the end of a run's stream whether its item is judged, tried again or given up. The mutex must be held.
+// continueItem starts the reward call, retries or gives up an item after its run's stream has ended. The mutex must be held.
 func (r *Runner) continueItem(ended *run, end itemwork.End) {
 	it := ended.item
 	now := r.now()
@@ -58,17 +58,17 @@
 	case itemwork.VerdictWhole:
 		r.lengths.observe(it.ExpectedLength, it.text.Len())
 		it.text.Whole = true
-		it.phase = phaseJudging
+		it.phase = phaseScoring
 		if it.Reward == nil || ended.released {
 			ended.over = true
-			r.judgeHere(it)
+			r.startRewardCall(it)
 		}
 	case itemwork.VerdictImpossible:
-		r.giveUp(it, "engine says it can never be done")
+		r.giveUp(it, "engine rejected the item permanently")
 	case itemwork.VerdictFailed:
 		it.failures++
 		if it.failures >= r.maxAttempts(it) {
-			r.giveUp(it, "failed too often")
+			r.giveUp(it, "engines failed the item as often as the route allows")
 			return
 		}
 		it.retry(now)
@@ -80,32 +80,32 @@
 	default:
 		it.retry(now)
 		if end.Withheld {
-			it.notBefore = now.Add(withheldPause)
+			it.notBefore = now.Add(withheldRetryDelay)
 		}
 	}
 }
 
-// leaveEngine frees the engine of an ended run for other items that must run apart. The mutex must be held.
-func (r *Runner) leaveEngine(ended *run) {
-	if ended.apart {
-		ended.apart = false
-		r.engine(ended.engine).apart--
+// endIsolation frees the engine of an ended run for other isolated items. The mutex must be held.
+func (r *Runner) endIsolation(ended *run) {
+	if ended.isolated {
+		ended.isolated = false
+		r.engine(ended.engine).isolated--
 	}
 }
 
-// judged lists an item whose reward call has ended. A call that broke off is made again. The mutex must be held.
-func (r *Runner) judged(ended *run, judgement itemwork.Judgement) {
+// rewardCallEnded lists the result of an item whose reward call has ended. An aborted call is made again. The mutex must be held.
+func (r *Runner) rewardCallEnded(ended *run, judgement itemwork.Judgement) {
 	it := ended.item
 	ended.over = true
 	switch judgement.State {
 	case itemwork.JudgementReached:
-		r.list(it, it.result(judgement.Score))
+		r.listResult(it, it.result(judgement.Score))
 	case itemwork.JudgementFailed:
 		level.Info(r.Logger).Log("msg", "item given up", "request", it.ID, "job", it.job.ID, "reason", "reward call failed too often",
 			"call", it.Reward.ID, "failures", judgement.Failures)
-		r.list(it, batch.Result{ID: it.ID, State: batch.Dead})
+		r.listResult(it, batch.Result{ID: it.ID, State: batch.Dead})
 	default:
-		r.judgeHere(it)
+		r.startRewardCall(it)
 	}
 }
 
@@ -115,47 +115,47 @@
 	defer r.mu.Unlock()
 	for _, known := range r.runs {
 		if known.worker == worker && !known.over {
-			r.lose(known)
+			r.markLost(known)
 		}
 	}
-	r.poke()
+	r.wakeScheduler()
 }
 
-// loseUnheard gives up the runs whose workers have not reported on them for maxUnheard. The mutex must be held.
-func (r *Runner) loseUnheard() {
+// expireRuns gives up the runs whose workers have not reported on them for reportTimeout. The mutex must be held.
+func (r *Runner) expireRuns() {
 	now := r.now()
 	for _, known := range r.runs {
-		if known.worker != "" && known.streaming && now.Sub(known.heard) > maxUnheard {
+		if known.worker != "" && known.streaming && now.Sub(known.lastReport) > reportTimeout {
 			known.cancel()
-			r.lose(known)
+			r.markLost(known)
 		}
 	}
 }
 
-// lose gives up a run on which no further report is expected. The mutex must be held.
-func (r *Runner) lose(lost *run) {
+// markLost gives up a run on which no further report is expected. The mutex must be held.
+func (r *Runner) markLost(lost *run) {
 	it := lost.item
 	lost.over = true
 	if lost.streaming {
 		lost.streaming = false
 		r.engine(lost.engine).running--
-		r.leaveEngine(lost)
+		r.endIsolation(lost)
 		r.Observer.AttemptEnded(lostVerdict, r.now().Sub(lost.started))
 	}
 	level.Info(r.Logger).Log("msg", "attempt ended", "request", it.ID, "job", it.job.ID, "run", lost.id, "worker", lost.worker, "engine", lost.engine,
 		"verdict", lostVerdict, "text_events", it.text.Len(), "took", r.now().Sub(lost.started).Round(time.Millisecond))
 	switch {
 	case r.isDetached(lost):
-		r.settle(lost)
+		r.endDetached(lost)
 	case !lost.current() || !r.leads():
 	case it.text.Whole:
-		r.judgeHere(it)
+		r.startRewardCall(it)
 	default:
 		it.phase = phaseWaiting
 	}
 }
 
-// maxAttempts returns how many times an engine may fail an item (status 500) before the item is given up.
+// maxAttempts returns how many times engines may fail an item (status 500) before it is given up.
 func (r *Runner) maxAttempts(it *item) int {
 	if route := r.route(it); route != nil {
 		return route.MaxAttempts
@@ -163,27 +163,27 @@
 	return 1
 }
 
-// retry makes the item wait for an engine again, after failurePause.
+// retry returns an item to the queue after retryDelay.
 func (it *item) retry(now time.Time) {
 	it.phase = phaseWaiting
-	it.notBefore = now.Add(failurePause)
+	it.notBefore = now.Add(retryDelay)
 }
 
-// result returns the result of an item whose text is whole.
+// result returns the result of an item whose text is complete.
 func (it *item) result(score string) batch.Result {
 	return batch.Result{ID: it.ID, State: batch.Done, Text: it.text.Joined(), Versions: it.text.Versions(), Score: score}
 }
 
-// giveUp ends an item without a text. The mutex must be held.
+// giveUp lists an item as dead, without a text. The mutex must be held.
 func (r *Runner) giveUp(it *item, reason string) {
 	level.Info(r.Logger).Log("msg", "item given up", "request", it.ID, "job", it.job.ID, "reason", reason, "failures", it.failures)
-	r.list(it, batch.Result{ID: it.ID, State: batch.Dead})
+	r.listResult(it, batch.Result{ID: it.ID, State: batch.Dead})
 }
 
-// list hands an item's result to the committer, and drops its text unless a later job may use it. The mutex must be held.
-func (r *Runner) list(it *item, result batch.Result) {
+// listResult passes an item's result to the committer, and drops its text unless a later job may use it. The mutex must be held.
+func (r *Runner) listResult(it *item, result batch.Result) {
 	it.phase = phaseFinished
-	if result.State != batch.Done || !it.text.Fits(itemwork.Bounds{MinVersion: r.returnVersion(it.job)}) {
+	if result.State != batch.Done || !it.text.Fits(itemwork.Bounds{MinVersion: r.carryOverVersion(it.job)}) {
 		it.text = itemwork.Text{}
 	}
 	if result.State == batch.Dead {
--- a/internal/batchrun/runner.go
+++ b/internal/batchrun/runner.go
@@ -1,6 +1,6 @@
-// Package batchrun runs batch jobs: it places their items on engines, resumes streams that break, has whole texts judged,
-// and lists results once they are kept for good. One process at a time runs the jobs of a deployment; it hands the runs of their
-// items to the workers of its desk (package itemwork), or carries them out itself if there are none.
+// Package batchrun runs batch jobs: it places their items on engines, resumes broken streams, requests rewards for complete texts and lists
+// results once they are durable. One process at a time runs the jobs of a deployment. It dispatches runs to the workers of its desk
+// (package itemwork), or executes them itself.
 package batchrun
 
 import (
@@ -21,49 +21,49 @@
 )
 
 const (
-	// acceptTimeout bounds the time to keep a new job.
+	// acceptTimeout bounds the time to store a new job.
 	acceptTimeout = 3500 * time.Millisecond
-	// endTimeout bounds the time to keep the end of a job.
+	// endTimeout bounds the time to store the end of a job.
 	endTimeout = 3500 * time.Millisecond
-	// findTimeout bounds the search for a job that this process does not know.
+	// findTimeout bounds the lookup of a job that is not in memory.
 	findTimeout = time.Second
-	// maxReadBytes bounds one reading, which may take 1 MB in the callers' encoding: a trainer that reads twice a second must keep up
-	// with some hundred short results a second.
+	// maxReadBytes bounds one read. Its encoded reply may take 1 MB.
 	maxReadBytes = 600 << 10
-	// maxRepeatBytes bounds a reading of results that were handed out before the last reading that went further: whoever asks for
-	// them again has them, as a rule, and bytes between zones are dear.
-	maxRepeatBytes = 128 << 10
-	// resultOverhead stands for what a result takes beyond its text.
+	// maxRereadBytes bounds a read of results that were returned before the furthest read. Callers usually have those already, and traffic
+	// between zones is expensive.
+	maxRereadBytes = 128 << 10
+	// resultOverhead is the assumed size of a result beyond its text, in bytes.
 	resultOverhead = 256
-	// maxWait bounds how long a reading waits for a result.
+	// maxWait bounds how long a read waits for a result.
 	maxWait = 2 * time.Second
-	// DefaultMaxEndedBytes bounds the results of ended jobs that stay in memory.
+	// DefaultMaxEndedBytes bounds the results of ended jobs in memory.
 	DefaultMaxEndedBytes = 24 << 20
 )
 
-// Params are what a Runner works with.
+// Params configures a Runner.
 type Params struct {
 	State     *fleet.State
 	Transport forward.Transport
 	Forwarder *forward.Forwarder
-	// Guard knows under which items engines have ended, and is told of runs of this process; nil holds none back.
+	// Guard holds back items under which engines have failed, and is notified of this process's runs. Nil disables quarantine.
 	Guard *quarantine.Guard
 	Store metastore.Client
-	// Zone is this process's: jobs whose bounds exclude its region are neither accepted nor read.
+	// Zone is the zone of this process. Jobs whose residency excludes its region are neither accepted nor loaded.
 	Zone string
-	// Quota grants runs at engines that have just started; nil if no engine is cold.
+	// Quota grants runs at cold engines; nil if no engine is cold.
 	Quota Quota
-	// Desk hands runs to workers; nil if this process carries out all of them.
+	// Desk dispatches runs to workers; nil if this process executes all of them.
 	Desk *itemwork.Desk
-	// EvacuateTime is how soon after the acknowledgement of its evacuation a zone gets no more requests; zero if zones are not evacuated.
+	// EvacuateTime is how soon after the acknowledgement of its evacuation a zone receives no more requests; zero if zones are not
+	// evacuated.
 	EvacuateTime time.Duration
 	// Retention is how long a job is kept after its end; zero means DefaultRetention.
 	Retention time.Duration
-	// MaxEndedBytes bounds the results of ended jobs that stay in memory; those of others are read from the store when they are
-	// asked for. Zero means DefaultMaxEndedBytes.
+	// MaxEndedBytes bounds the results of ended jobs in memory; other results are read from the store on demand. Zero means
+	// DefaultMaxEndedBytes.
 	MaxEndedBytes int
-	// TextFolder is where unfinished texts are kept on this process's disk; empty for nowhere. They take up to TextLimit bytes, and
-	// twice that while they are written anew.
+	// TextFolder is the directory for checkpoints of unfinished texts; empty disables them. They take up to TextLimit bytes, and twice that
+	// during a rewrite.
 	TextFolder string
 	TextLimit  int64
 	// Observer may be nil.
@@ -78,45 +78,45 @@
 	executor *itemwork.Executor
 
 	mu sync.Mutex
-	// token is that of the term.
+	// token is the fencing token of the term.
 	token int64
-	// runs are those of open jobs, and of ended ones whose stream lasts.
+	// runs holds the runs of open jobs, and those of ended jobs that are still streaming.
 	runs map[itemwork.RunID]*run
-	// runCount is the number of runs that the term has begun.
+	// runCount is the number of runs created in this term.
 	runCount uint64
-	// term ends with the leadership; nil while this process does not lead.
+	// term is the context of the current term; nil while this process does not lead.
 	term context.Context
-	// depose ends the term.
-	depose  context.CancelFunc
+	// endTerm cancels term.
+	endTerm context.CancelFunc
 	log     *batchlog.Store
 	jobs    map[string]*job
 	order   []*job
 	engines map[string]*engineRecord
-	// holders are the engines that were sent a shared prompt lately, by the prompt's ID.
-	holders map[string][]string
-	// lengths expects how long texts become.
+	// promptHolders lists the engines that were recently sent a shared prompt, by the prompt's ID.
+	promptHolders map[string][]string
+	// lengths predicts text lengths.
 	lengths *lengthModel
-	// usual is the pause between two events over all engines.
-	usual usualPause
-	// detached are the runs that go on after the end of their jobs, by their items' IDs.
+	// fleetInterval is the average interval between two events over all engines.
+	fleetInterval fleetInterval
+	// detached holds the runs that continue after the end of their jobs, by text key.
 	detached map[string]*run
-	// returnOffsets is, by model, by how much the last job in which items came again demanded newer weights than their first.
-	returnOffsets map[string]int64
-	// focus holds the engines among which items are placed.
-	focus focus
-	// emptying holds the evacuated zones, in which runs are ended.
-	emptying emptyingZones
-	// kept is what ended jobs have left of items that may come again.
-	kept *unfinishedTexts
-	// ends are the jobs whose end is kept for good, with the time when this process learnt of it.
-	ends map[string]time.Time
-	// submitted is the work that came in lately, by model.
+	// carryOverOffsets is, by model, by how much the required weight version last rose for items carried over into a later job.
+	carryOverOffsets map[string]int64
+	// subsets holds the engines among which items are placed.
+	subsets engineSubsets
+	// draining holds the evacuated zones in which runs are ended.
+	draining drainingZones
+	// unfinished holds the texts that ended jobs left for later jobs.
+	unfinished *unfinishedTexts
+	// endedAt holds when this process learned of the durable end of each job.
+	endedAt map[string]time.Time
+	// submitted is the decayed sum of recently submitted items, by model.
 	submitted map[string]decay.Value
 	// endedBytes is the size of the results of ended jobs in memory.
 	endedBytes int
-	// running are the goroutines of the term; it grows only while the term lasts.
-	running sync.WaitGroup
-	wake    chan struct{}
+	// goroutines tracks the goroutines of the term; it grows only during the term.
+	goroutines sync.WaitGroup
+	wake       chan struct{}
 }
 
 var _ batch.Service = (*Runner)(nil)
@@ -124,7 +124,7 @@
 // New returns a Runner that does nothing until Lead.
 func New(params Params) *Runner {
 	if params.Observer == nil {
-		params.Observer = noObserver{}
+		params.Observer = nopObserver{}
 	}
 	if params.Retention == 0 {
 		params.Retention = DefaultRetention
@@ -133,10 +133,10 @@
 		params.MaxEndedBytes = DefaultMaxEndedBytes
 	}
 	executor := &itemwork.Executor{State: params.State, Transport: params.Transport, Forwarder: params.Forwarder, Guard: params.Guard}
-	return &Runner{Params: params, now: time.Now, executor: executor, wake: make(chan struct{}, 1), focus: newFocus()}
+	return &Runner{Params: params, now: time.Now, executor: executor, wake: make(chan struct{}, 1), subsets: newEngineSubsets()}
 }
 
-// add begins to run a job. The mutex must be held and the term last.
+// add starts to run a job. The mutex must be held and the process must lead.
 func (r *Runner) add(stored *batchlog.Stored) *job {
 	if known, ok := r.jobs[stored.Job.ID]; ok {
 		return known
@@ -145,43 +145,43 @@
 	r.jobs[j.ID] = j
 	r.order = append(r.order, j)
 	if stored.Sealed {
-		r.noteEnd(j)
+		r.recordEnd(j)
 		return j
 	}
-	r.noteSubmitted(j)
+	r.addSubmitted(j)
 	for _, it := range j.items {
 		r.reuse(it)
 	}
-	if !r.knowsEarlier(j) {
-		j.assumeCarried()
+	if !r.hasEarlierJobs(j) {
+		j.assumeCarriedOver()
 	}
 	term := r.term
-	r.running.Go(func() { r.commit(term, j) })
-	r.poke()
+	r.goroutines.Go(func() { r.commit(term, j) })
+	r.wakeScheduler()
 	return j
 }
 
-// poke makes the scheduler look again.
-func (r *Runner) poke() {
+// wakeScheduler triggers a scheduling pass.
+func (r *Runner) wakeScheduler() {
 	select {
 	case r.wake <- struct{}{}:
 	default:
 	}
 }
 
-// NoteVersion takes in the weight version that an engine is known to hold.
+// NoteVersion records the weight version that an engine is known to hold.
 func (r *Runner) NoteVersion(engineID, model string, version int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.leads() {
 		return
 	}
-	r.engine(engineID).noteVersion(model, version, r.now())
-	r.noteFocus(engineID, model)
-	r.poke()
+	r.engine(engineID).setVersion(model, version, r.now())
+	r.addToSubsets(engineID, model)
+	r.wakeScheduler()
 }
 
-// NoteLoading takes in that an engine loads weights, and takes no new work, or that this is over.
+// NoteLoading records whether an engine is loading weights. Such an engine gets no new items.
 func (r *Runner) NoteLoading(engineID string, loading bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -189,20 +189,20 @@
 		return
 	}
 	r.engine(engineID).loading = loading
-	r.poke()
+	r.wakeScheduler()
 }
 
-// Pause returns the expected pause between two events at an engine.
+// Pause returns the expected interval between two events at an engine.
 func (r *Runner) Pause(engineID string) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.leads() {
-		return assumedPause
+		return defaultEventInterval
 	}
-	return r.engine(engineID).pause(r.now())
+	return r.engine(engineID).eventInterval(r.now())
 }
 
-// stopItems ends all work on a job and keeps what was made of its items for later jobs.
+// stopItems ends all work on a job and keeps the texts of its items for later jobs.
 func (r *Runner) stopItems(j *job) {
 	if j.ended {
 		return
@@ -213,7 +213,7 @@
 			continue
 		}
 		it.stop()
-		r.keep(it)
+		r.keepText(it)
 	}
-	r.forgetRuns(j)
+	r.pruneRuns(j)
 }
--- a/internal/batchrun/look_bench_test.go
+++ b/internal/batchrun/schedule_bench_test.go
@@ -12,8 +12,8 @@
 	"github.com/covelink/covelink/internal/routing"
 )
 
-// BenchmarkLook measures one look of the scheduler that chooses an engine for 1,000 items of ten jobs, at 610 engines in 8 zones.
-func BenchmarkLook(b *testing.B) {
+// BenchmarkSchedulingPass measures one scheduling pass that chooses an engine for 1,000 items, with 610 engines in 8 zones.
+func BenchmarkSchedulingPass(b *testing.B) {
 	for _, c := range []struct {
 		name    string
 		allowed []string
@@ -40,9 +40,9 @@
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				looked := runner.newLook(state.View())
+				pass := runner.newSchedulingPass(state.View())
 				for _, it := range items {
-					if chosen, _ := looked.choose(matched, it, 0); chosen == nil {
+					if chosen, _ := pass.choose(matched, it, 0); chosen == nil {
 						b.Fatal("no engine is permitted")
 					}
 				}
--- a/internal/batchrun/service.go
+++ b/internal/batchrun/service.go
@@ -14,19 +14,19 @@
 
 // Submit implements batch.Service.
 func (r *Runner) Submit(ctx context.Context, submitted batch.Job) error {
-	log, err := r.leading()
+	log, err := r.termLog()
 	if err != nil {
 		return batch.ErrRefused
 	}
 	if known := r.find(submitted.ID); known != nil {
-		return r.takenAgain(submitted, known.Tenant)
+		return r.resubmitted(submitted, known.Tenant)
 	}
 	jobresidency.Bind(r.State.View().Routes, &submitted)
-	if !r.mayKeep(&submitted) {
-		r.logExcluded("job refused, it may not be in this region", &submitted)
+	if !r.mayStore(&submitted) {
+		r.logExcluded("job refused: residency excludes this region", &submitted)
 		return batch.ErrExcluded
 	}
-	// A caller that leaves must not leave the outcome open.
+	// The job must be stored or refused even if the caller disconnects.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), acceptTimeout)
 	defer cancel()
 	started := r.now()
@@ -40,25 +40,25 @@
 		return batch.ErrUnavailable
 	}
 	if stored.Job.Tenant != submitted.Tenant {
-		return r.takenAgain(submitted, stored.Job.Tenant)
+		return r.resubmitted(submitted, stored.Job.Tenant)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.leads() {
-		// Whoever leads now finds the job when it is asked for.
+		// The process that leads now finds the job in the store.
 		return nil
 	}
 	r.add(stored)
-	r.kept.dropOutdated(submitted.Model, submitted.MinVersion)
+	r.unfinished.dropOutdated(submitted.Model, submitted.MinVersion)
 	return nil
 }
 
-// takenAgain answers a submission whose ID is that of a job which is kept already.
-func (r *Runner) takenAgain(submitted batch.Job, keptFor string) error {
-	if keptFor == submitted.Tenant {
+// resubmitted answers a submission whose ID is that of a stored job.
+func (r *Runner) resubmitted(submitted batch.Job, owner string) error {
+	if owner == submitted.Tenant {
 		return nil
 	}
-	level.Warn(r.Logger).Log("msg", "job refused, its id is that of another tenant's", "request", submitted.ID, "tenant", submitted.Tenant)
+	level.Warn(r.Logger).Log("msg", "job refused: ID belongs to another tenant's job", "request", submitted.ID, "tenant", submitted.Tenant)
 	return batch.ErrRefused
 }
 
@@ -68,22 +68,22 @@
 	return r.jobs[id]
 }
 
-// lookUp returns a job of the caller's tenant, from the store if this process does not know it.
-func (r *Runner) lookUp(ctx context.Context, ref batch.Ref) (*job, error) {
-	found, err := r.lookUpAny(ctx, ref.ID)
+// jobFor returns a job of the caller's tenant, from the store if it is not in memory.
+func (r *Runner) jobFor(ctx context.Context, ref batch.Ref) (*job, error) {
+	found, err := r.loadJob(ctx, ref.ID)
 	if err != nil {
 		return nil, err
 	}
 	if !found.MayBeSeenBy(ref.Tenant) {
-		level.Info(r.Logger).Log("msg", "call refused, the job is another tenant's", "request", ref.ID, "tenant", ref.Tenant)
+		level.Info(r.Logger).Log("msg", "call refused: job belongs to another tenant", "request", ref.ID, "tenant", ref.Tenant)
 		return nil, batch.ErrNotFound
 	}
 	return found, nil
 }
 
-// lookUpAny returns a job, whoever's it is.
-func (r *Runner) lookUpAny(ctx context.Context, id string) (*job, error) {
-	log, err := r.leading()
+// loadJob returns a job of any tenant, from the store if it is not in memory.
+func (r *Runner) loadJob(ctx context.Context, id string) (*job, error) {
+	log, err := r.termLog()
 	if err != nil {
 		return nil, err
 	}
@@ -109,7 +109,7 @@
 
 // Read implements batch.Service.
 func (r *Runner) Read(ctx context.Context, ref batch.Ref, position int, wait time.Duration) (batch.Reading, error) {
-	j, err := r.lookUp(ctx, ref)
+	j, err := r.jobFor(ctx, ref)
 	if err != nil {
 		return batch.Reading{}, err
 	}
@@ -117,51 +117,51 @@
 	defer cancel()
 	for {
 		r.mu.Lock()
-		reading := j.read(position)
+		page := j.readFrom(position)
 		changed := j.changed
 		r.mu.Unlock()
-		if len(reading.Results) > 0 {
-			return reading, nil
+		if len(page.Results) > 0 {
+			return page, nil
 		}
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			// Whoever reads that there is nothing yet must have asked one who leads.
-			if _, err := r.leading(); err != nil {
+			// An empty result is valid only from the process that leads.
+			if _, err := r.termLog(); err != nil {
 				return batch.Reading{}, err
 			}
-			return reading, nil
+			return page, nil
 		}
 	}
 }
 
-// read returns the results from a position on that fit one reading. The runner's mutex must be held.
-func (j *job) read(position int) batch.Reading {
-	reading := batch.Reading{Total: j.total, Next: position}
+// readFrom returns the results from a position on that fit one read. The runner's mutex must be held.
+func (j *job) readFrom(position int) batch.Reading {
+	page := batch.Reading{Total: j.total, Next: position}
 	limit := maxReadBytes
 	if position < j.newestRead {
-		limit = maxRepeatBytes
+		limit = maxRereadBytes
 	}
 	size := 0
 	for position < len(j.listed) {
 		result := j.listed[position]
 		size += len(result.Text) + resultOverhead
-		if len(reading.Results) > 0 && size > limit {
+		if len(page.Results) > 0 && size > limit {
 			break
 		}
-		reading.Results = append(reading.Results, result)
+		page.Results = append(page.Results, result)
 		position++
 	}
-	reading.Next = position
-	if len(reading.Results) > 0 && reading.Next > j.furthestRead {
-		j.newestRead, j.furthestRead = reading.Next-len(reading.Results), reading.Next
+	page.Next = position
+	if len(page.Results) > 0 && page.Next > j.furthestRead {
+		j.newestRead, j.furthestRead = page.Next-len(page.Results), page.Next
 	}
-	return reading
+	return page
 }
 
 // Body implements batch.Service.
 func (r *Runner) Body(ctx context.Context, ref batch.Ref, name string) ([]byte, error) {
-	j, err := r.lookUp(ctx, ref)
+	j, err := r.jobFor(ctx, ref)
 	if err != nil {
 		return nil, err
 	}
@@ -176,17 +176,17 @@
 
 // End implements batch.Service.
 func (r *Runner) End(ctx context.Context, ref batch.Ref) error {
-	j, err := r.lookUp(ctx, ref)
+	j, err := r.jobFor(ctx, ref)
 	if err != nil {
 		return err
 	}
 	r.mu.Lock()
 	if !j.ended {
-		r.logEnd(j)
+		r.logProgress(j)
 	}
 	r.stopItems(j)
 	r.mu.Unlock()
-	j.signal()
+	j.wakeCommitter()
 	ctx, cancel := context.WithTimeout(ctx, endTimeout)
 	defer cancel()
 	sealed := r.awaitSealed(ctx, j)
@@ -194,11 +194,11 @@
 	if !sealed {
 		return batch.ErrUnavailable
 	}
-	r.poke()
+	r.wakeScheduler()
 	return nil
 }
 
-// awaitSealed waits until the end of a job is kept for good.
+// awaitSealed waits until the end of a job is durable. It returns false if ctx ends first.
 func (r *Runner) awaitSealed(ctx context.Context, j *job) bool {
 	for {
 		r.mu.Lock()
