--- a/internal/batchrun/tenant_test.go
+++ b/internal/batchrun/tenant_test.go
@@ -10,63 +10,63 @@
 	"github.com/covelink/covelink/internal/batch"
 )
 
-// Jobs and the texts that are kept of their items must not cross from one tenant to another, whatever IDs a caller chooses.
+// Guards against jobs and unfinished texts crossing from one tenant to another through chosen IDs.
 func TestTenants(t *testing.T) {
 	of := func(tenant string, job batch.Job) batch.Job {
 		job.Tenant = tenant
 		return job
 	}
-	play(t, "A job is there for its tenant alone, in a later term too", func(w *world) {
+	runScenario(t, "A job is visible only to its tenant, also in a later term", func(h *harness) {
 		ctx := context.Background()
-		So(w.runner.Submit(ctx, of("alpha", newJob("job", 2))), ShouldBeNil)
+		So(h.runner.Submit(ctx, of("alpha", newJob("job", 2))), ShouldBeNil)
 		for term := int64(1); term <= 2; term++ {
 			for _, tenant := range []string{"beta", ""} {
 				ref := batch.Ref{ID: "job", Tenant: tenant}
-				_, err := w.runner.Read(ctx, ref, 0, 0)
+				_, err := h.runner.Read(ctx, ref, 0, 0)
 				So(err, ShouldEqual, batch.ErrNotFound)
-				_, err = w.runner.Body(ctx, ref, "job-0")
+				_, err = h.runner.Body(ctx, ref, "job-0")
 				So(err, ShouldEqual, batch.ErrNotFound)
-				So(w.runner.End(ctx, ref), ShouldEqual, batch.ErrNotFound)
-				So(w.runner.Submit(ctx, of(tenant, newJob("job", 2))), ShouldEqual, batch.ErrRefused)
+				So(h.runner.End(ctx, ref), ShouldEqual, batch.ErrNotFound)
+				So(h.runner.Submit(ctx, of(tenant, newJob("job", 2))), ShouldEqual, batch.ErrRefused)
 			}
-			_, err := w.runner.Read(ctx, batch.Ref{ID: "job", Tenant: "alpha"}, 0, 0)
+			_, err := h.runner.Read(ctx, batch.Ref{ID: "job", Tenant: "alpha"}, 0, 0)
 			So(err, ShouldBeNil)
-			So(w.runner.Submit(ctx, of("alpha", newJob("job", 2))), ShouldBeNil)
-			w.stop()
-			w.runner, w.stop = w.lead(term + 1)
+			So(h.runner.Submit(ctx, of("alpha", newJob("job", 2))), ShouldBeNil)
+			h.stop()
+			h.runner, h.stop = h.startTerm(term + 1)
 		}
 		time.Sleep(2 * time.Second)
-		So(w.runner.End(ctx, batch.Ref{ID: "job", Tenant: "alpha"}), ShouldBeNil)
+		So(h.runner.End(ctx, batch.Ref{ID: "job", Tenant: "alpha"}), ShouldBeNil)
 	})
-	play(t, "A job of nobody's is there for everybody", func(w *world) {
-		So(w.runner.Submit(context.Background(), newJob("job", 1)), ShouldBeNil)
-		_, err := w.runner.Read(context.Background(), batch.Ref{ID: "job", Tenant: "beta"}, 0, 0)
+	runScenario(t, "A job without a tenant is visible to all", func(h *harness) {
+		So(h.runner.Submit(context.Background(), newJob("job", 1)), ShouldBeNil)
+		_, err := h.runner.Read(context.Background(), batch.Ref{ID: "job", Tenant: "beta"}, 0, 0)
 		So(err, ShouldBeNil)
 	})
-	play(t, "A text that was kept goes to an item of the same tenant, not to one of the same ID", func(w *world) {
+	runScenario(t, "A kept text goes only to an item of the same tenant, not to another tenant's item of the same ID", func(h *harness) {
 		ctx := context.Background()
-		w.engines.set("a", behaviour{pause: 300 * time.Millisecond})
-		w.engines.set("b", behaviour{pause: 300 * time.Millisecond})
-		So(w.runner.Submit(ctx, of("alpha", newJob("job", 1))), ShouldBeNil)
+		h.engines.setBehavior("a", engineBehavior{pause: 300 * time.Millisecond})
+		h.engines.setBehavior("b", engineBehavior{pause: 300 * time.Millisecond})
+		So(h.runner.Submit(ctx, of("alpha", newJob("job", 1))), ShouldBeNil)
 		time.Sleep(2500 * time.Millisecond)
-		So(w.runner.End(ctx, batch.Ref{ID: "job", Tenant: "alpha"}), ShouldBeNil)
+		So(h.runner.End(ctx, batch.Ref{ID: "job", Tenant: "alpha"}), ShouldBeNil)
 		again := func(id, tenant string) batch.Job {
 			job := of(tenant, newJob(id, 0))
 			job.Step, job.Items = 1, newJob("job", 1).Items
 			return job
 		}
-		So(w.runner.Submit(ctx, again("stranger", "beta")), ShouldBeNil)
+		So(h.runner.Submit(ctx, again("stranger", "beta")), ShouldBeNil)
 		time.Sleep(300 * time.Millisecond)
-		runs := w.engines.of("job-0")
+		runs := h.engines.executionsOf("job-0")
 		So(runs[len(runs)-1].resumed, ShouldBeFalse)
 		begun := len(runs)
-		So(w.runner.Submit(ctx, again("own", "alpha")), ShouldBeNil)
+		So(h.runner.Submit(ctx, again("own", "alpha")), ShouldBeNil)
 		time.Sleep(10 * time.Second)
-		reading, err := w.runner.Read(ctx, batch.Ref{ID: "own", Tenant: "alpha"}, 0, 0)
+		reading, err := h.runner.Read(ctx, batch.Ref{ID: "own", Tenant: "alpha"}, 0, 0)
 		So(err, ShouldBeNil)
 		So(reading.Results, ShouldHaveLength, 1)
-		So(reading.Results[0].Text, ShouldEqual, w.wholeText())
-		for _, run := range w.engines.of("job-0")[begun:] {
+		So(reading.Results[0].Text, ShouldEqual, h.completeText())
+		for _, run := range h.engines.executionsOf("job-0")[begun:] {
 			So(run.resumed, ShouldBeTrue)
 		}
 	})
--- a/internal/batchrun/unfinished.go
+++ b/internal/batchrun/unfinished.go
@@ -6,37 +6,36 @@
 	"github.com/covelink/covelink/internal/itemwork"
 )
 
-// maxUnfinishedBytes bounds the texts of unfinished items that are kept for later jobs.
+// maxUnfinishedBytes bounds the memory of unfinished texts kept for later jobs.
 const maxUnfinishedBytes = 16 << 20
 
-// unfinishedTexts holds what ended jobs have left of items that may come again in later jobs, the newest of them. It is not
-// safe for concurrent use.
+// unfinishedTexts holds the most recent texts that ended jobs left for later jobs. It is not safe for concurrent use.
 type unfinishedTexts struct {
-	byName map[string]*list.Element
-	// order holds an unfinishedText an element, oldest first.
+	byKey map[string]*list.Element
+	// order holds elements of type unfinishedText, oldest first.
 	order *list.List
 	bytes int
 }
 
 type unfinishedText struct {
-	// name is the item's textName.
-	name string
-	// model is the one whose weights made it.
+	// key is the item's textKey.
+	key string
+	// model is the model that produced the text.
 	model string
 	text  itemwork.Text
 }
 
 func newUnfinishedTexts() *unfinishedTexts {
-	return &unfinishedTexts{byName: make(map[string]*list.Element), order: list.New()}
+	return &unfinishedTexts{byKey: make(map[string]*list.Element), order: list.New()}
 }
 
-// put keeps an item's text. The oldest texts give way.
+// put stores an item's text, and evicts the oldest texts beyond maxUnfinishedBytes.
 func (u *unfinishedTexts) put(left unfinishedText) {
-	u.take(left.name)
-	u.byName[left.name] = u.order.PushBack(left)
+	u.take(left.key)
+	u.byKey[left.key] = u.order.PushBack(left)
 	u.bytes += left.text.Size() + textOverhead
 	for u.bytes > maxUnfinishedBytes {
-		u.take(u.order.Front().Value.(unfinishedText).name)
+		u.take(u.order.Front().Value.(unfinishedText).key)
 	}
 }
 
@@ -48,31 +47,31 @@
 	}
 }
 
-// dropOutdated drops the texts that weights of a model made which are older than a version: later jobs demand no older ones than
-// the newest job does.
+// dropOutdated drops the texts of a model that contain weights older than a version. Later jobs require no older version than the newest
+// job does.
 func (u *unfinishedTexts) dropOutdated(model string, version int64) {
 	var outdated []string
 	u.each(func(kept *unfinishedText) {
 		if kept.model == model && !kept.text.Fits(itemwork.Bounds{MinVersion: version}) {
-			outdated = append(outdated, kept.name)
+			outdated = append(outdated, kept.key)
 		}
 	})
-	for _, name := range outdated {
-		u.take(name)
+	for _, key := range outdated {
+		u.take(key)
 	}
 }
 
-// take returns an item's text and keeps it no longer.
-func (u *unfinishedTexts) take(name string) (itemwork.Text, bool) {
-	element, ok := u.byName[name]
+// take removes and returns an item's text.
+func (u *unfinishedTexts) take(key string) (itemwork.Text, bool) {
+	element, ok := u.byKey[key]
 	if !ok {
 		return itemwork.Text{}, false
 	}
-	delete(u.byName, name)
+	delete(u.byKey, key)
 	found := u.order.Remove(element).(unfinishedText)
 	u.bytes -= (found.text.Size() + textOverhead)
 	return found.text, true
 }
 
-// textOverhead stands for the memory of an item's text beyond its bytes.
+// textOverhead is the assumed memory of an item's text beyond its bytes.
 const textOverhead = 256
--- a/internal/batchrun/unfinished_test.go
+++ b/internal/batchrun/unfinished_test.go
@@ -10,11 +10,11 @@
 )
 
 func TestUnfinishedTexts(t *testing.T) {
-	Convey("The newest texts are kept, within their memory, and each is taken once", t, func() {
+	Convey("The newest texts are kept within the memory limit, and each is taken once", t, func() {
 		texts := newUnfinishedTexts()
 		large := itemwork.Text{Segments: []itemwork.Segment{{Version: 1, Events: []string{strings.Repeat("x", maxUnfinishedBytes/3)}}}}
 		for _, id := range []string{"a", "b", "a", "c", "d"} {
-			texts.put(unfinishedText{name: id, text: large})
+			texts.put(unfinishedText{key: id, text: large})
 		}
 		_, ok := texts.take("b")
 		So(ok, ShouldBeFalse)
@@ -27,14 +27,14 @@
 		So(texts.bytes, ShouldEqual, 0)
 		So(texts.order.Len(), ShouldEqual, 0)
 	})
-	Convey("Texts of older weights than a version are dropped, of that model only", t, func() {
+	Convey("Texts of older weights than a version are dropped for that model only", t, func() {
 		texts := newUnfinishedTexts()
 		made := func(version int64) itemwork.Text {
 			return itemwork.Text{Segments: []itemwork.Segment{{Version: version, Events: []string{"x"}}}}
 		}
-		texts.put(unfinishedText{name: "old", model: "a", text: made(1)})
-		texts.put(unfinishedText{name: "new", model: "a", text: made(2)})
-		texts.put(unfinishedText{name: "other", model: "b", text: made(1)})
+		texts.put(unfinishedText{key: "old", model: "a", text: made(1)})
+		texts.put(unfinishedText{key: "new", model: "a", text: made(2)})
+		texts.put(unfinishedText{key: "other", model: "b", text: made(1)})
 		texts.dropOutdated("a", 2)
 		_, old := texts.take("old")
 		_, newer := texts.take("new")
