--- a/internal/batchrun/runner.go
+++ b/internal/batchrun/runner.go
@@ -169,8 +169,8 @@
 	}
 }
 
-// NoteVersion records the weight version that an engine is known to hold.
-func (r *Runner) NoteVersion(engineID, model string, version int64) {
+// RecordVersion records the weight version that an engine is known to hold.
+func (r *Runner) RecordVersion(engineID, model string, version int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.leads() {
--- a/internal/fleetnode/coordinator.go
+++ b/internal/fleetnode/coordinator.go
@@ -80,7 +80,7 @@
 		Store:       store,
 		Holder:      config.Node.Name,
 		LeaseLength: config.Timing.LeaseLength,
-		Loaded:      runner.NoteVersion,
+		Loaded:      runner.RecordVersion,
 		Loading:     runner.NoteLoading,
 		Pause:       runner.Pause,
 		Demands:     runner.Demands,
