--- a/internal/fleet/evacuations.go
+++ b/internal/fleet/evacuations.go
@@ -5,19 +5,20 @@
 	"slices"
 )
 
-// Evacuations are the evacuated zones, to whose engines nothing may be sent, as of one revision of the store. They are immutable.
+// Evacuations is the immutable set of evacuated zones, to whose engines nothing may be sent, as of a store revision.
 type Evacuations struct {
 	revision int64
-	// since maps each evacuated zone to the revision at which its evacuation began. A zone that was restored and evacuated again has a newer one.
+	// since maps each evacuated zone to the revision at which its current evacuation began.
 	since map[string]int64
 }
 
-// NewEvacuations returns the evacuations as of a revision. since maps each evacuated zone to the revision at which its evacuation began.
+// NewEvacuations returns the evacuations as of a revision. since maps each evacuated zone to the revision at which its
+// evacuation began.
 func NewEvacuations(revision int64, since map[string]int64) *Evacuations {
 	return &Evacuations{revision: revision, since: maps.Clone(since)}
 }
 
-// Revision returns the revision of the store that they are as of.
+// Revision returns the store revision of the set.
 func (e *Evacuations) Revision() int64 { return e.revision }
 
 // Include reports whether a zone is evacuated.
@@ -29,5 +30,5 @@
 // Since returns the revision at which a zone's evacuation began; zero if it is not evacuated.
 func (e *Evacuations) Since(zone string) int64 { return e.since[zone] }
 
-// Zones returns the evacuated zones in the order of their names.
+// Zones returns the evacuated zones, sorted.
 func (e *Evacuations) Zones() []string { return slices.Sorted(maps.Keys(e.since)) }
--- a/internal/fleet/ready_lists.go
+++ b/internal/fleet/ready_lists.go
@@ -6,7 +6,8 @@
 	"slices"
 )
 
-// readyLists changes the lists of ready engines by service, each in the order of IDs. Lists of services without a change are shared with the last view.
+// readyLists updates the lists of ready engines by service, each sorted by ID. Unchanged lists are shared with the
+// previous view.
 type readyLists struct {
 	lists          map[string][]*Engine
 	added, removed map[string][]*Engine
@@ -24,7 +25,7 @@
 	l.removed[engine.Service] = append(l.removed[engine.Service], engine)
 }
 
-// merged returns the changed lists.
+// merged returns the updated lists.
 func (l *readyLists) merged() map[string][]*Engine {
 	if len(l.added) == 0 && len(l.removed) == 0 && l.lists != nil {
 		return l.lists
@@ -33,47 +34,48 @@
 	if merged == nil {
 		merged = make(map[string][]*Engine)
 	}
-	for service, gone := range l.removed {
-		byID(gone)
-		merged[service] = without(merged[service], gone)
+	for service, removed := range l.removed {
+		sortByID(removed)
+		merged[service] = without(merged[service], removed)
 	}
-	for service, come := range l.added {
-		byID(come)
-		merged[service] = with(merged[service], come)
+	for service, added := range l.added {
+		sortByID(added)
+		merged[service] = with(merged[service], added)
 	}
 	return merged
 }
 
-func byID(engines []*Engine) {
+func sortByID(engines []*Engine) {
 	slices.SortFunc(engines, func(a, b *Engine) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// Find returns the place of an ID in a list of engines in the order of IDs, and whether it is there; else the place is where it would be.
-func Find(list []*Engine, id string) (place int, listed bool) {
+// Find returns the index of an ID in engines sorted by ID, or the index at which it would be inserted, and whether it is
+// present.
+func Find(list []*Engine, id string) (index int, found bool) {
 	return slices.BinarySearchFunc(list, id, func(engine *Engine, id string) int { return cmp.Compare(engine.ID, id) })
 }
 
-// without returns a copy of a list without some of its engines, in whole runs between them.
-func without(list, gone []*Engine) []*Engine {
-	left := make([]*Engine, 0, len(list)-len(gone))
+// without returns a copy of a sorted list without the engines of another sorted list.
+func without(list, removed []*Engine) []*Engine {
+	kept := make([]*Engine, 0, len(list)-len(removed))
 	from := 0
-	for _, engine := range gone {
+	for _, engine := range removed {
 		offset, _ := Find(list[from:], engine.ID)
-		left = append(left, list[from:from+offset]...)
+		kept = append(kept, list[from:from+offset]...)
 		from += offset + 1
 	}
-	return append(left, list[from:]...)
+	return append(kept, list[from:]...)
 }
 
-// with returns a copy of a list with more engines.
-func with(list, come []*Engine) []*Engine {
-	joined := make([]*Engine, 0, len(list)+len(come))
+// with returns a copy of a sorted list with the engines of another sorted list merged in.
+func with(list, added []*Engine) []*Engine {
+	merged := make([]*Engine, 0, len(list)+len(added))
 	from := 0
-	for _, engine := range come {
+	for _, engine := range added {
 		offset, _ := Find(list[from:], engine.ID)
-		joined = append(joined, list[from:from+offset]...)
-		joined = append(joined, engine)
+		merged = append(merged, list[from:from+offset]...)
+		merged = append(merged, engine)
 		from += offset
 	}
-	return append(joined, list[from:]...)
+	return append(merged, list[from:]...)
 }
--- a/internal/fleet/state.go
+++ b/internal/fleet/state.go
@@ -1,5 +1,6 @@
-// Package fleet holds what a process knows of the deployment: the route table in force, the engines that are listed, the regions of its
-// zones and the zones that are evacuated. Each is replaced as a whole and never goes back.
+// Package fleet holds a process's view of the deployment: the active route table, the listed engines, the regions of
+// zones and the evacuated zones. Each is replaced as a whole; routes and evacuations never go back to an earlier
+// version.
 package fleet
 
 import (
@@ -11,54 +12,55 @@
 	"github.com/covelink/covelink/internal/sharedmap"
 )
 
-// Engine is one start of a listed process that executes requests. Another start of it is another Engine with another ID, so that nothing that is kept by
-// ID outlives a start: weight versions, paces, order numbers, evidence against it.
+// Engine is one incarnation of an engine process. A restart is a different Engine with a different ID, so that state
+// keyed by ID does not survive a restart.
 type Engine struct {
-	// ID identifies the start within the deployment.
+	// ID identifies the incarnation within the deployment.
 	ID string
-	// Name is what the platform calls the process, if that may start again under the same name; empty if the name is the ID.
+	// Name is the platform's name of the process if it is kept over restarts; empty if it equals ID.
 	Name    string
 	Service string
 	// Address is host:port.
 	Address string
 	Zone    string
-	// Slots is how many requests it works on at once.
+	// Slots is the number of requests that it executes concurrently.
 	Slots int
-	// Ready is false once the engine is leaving.
+	// Ready is false once the engine is draining.
 	Ready bool
-	// Versions maps each model that it holds to its weight version.
+	// Versions maps each loaded model to its weight version.
 	Versions map[string]int64
-	// ColdRemaining is how much longer the engine is cold, and serves only its service's cold rate, as of when it wrote its entry; zero for a warm
-	// engine.
+	// ColdRemaining is how much longer the engine warms up, limited to its service's cold rate, as of the writing of its
+	// entry; zero for a warm engine.
 	ColdRemaining time.Duration
 }
 
-// PlatformName returns what the platform calls the process.
+// PlatformName returns the platform's name of the process.
 func (e *Engine) PlatformName() string { return cmp.Or(e.Name, e.ID) }
 
-// View is one state of the deployment. It is not changed once it is handed out.
+// View is an immutable snapshot of the deployment.
 type View struct {
 	// Routes is nil until the first table is known.
 	Routes *routing.Table
-	// Engines are all listed engines by ID, the leaving ones included.
+	// Engines maps the IDs of all listed engines, including draining ones, to the engines.
 	Engines sharedmap.Map[*Engine]
-	// Topology tells the region of each zone.
+	// Topology maps zones to regions.
 	Topology Topology
-	// Evacuations are the evacuated zones; nil while they are not known, when nothing may be sent to any zone.
+	// Evacuations are the evacuated zones; nil while they are unknown, when nothing may be sent to any zone.
 	Evacuations *Evacuations
-	// ready maps a service to its engines that are not leaving, in the order of their IDs.
+	// ready maps each service to its engines that are not draining, sorted by ID.
 	ready map[string][]*Engine
-	// open maps a service to its ready engines whose zones are not evacuated, in the same order.
+	// open maps each service to its ready engines outside evacuated zones, sorted by ID.
 	open map[string][]*Engine
 }
 
-// Ready returns the engines of a service that are not leaving, in the order of their IDs. Package placement tells which of them may run a request.
+// Ready returns the engines of a service that are not draining, sorted by ID. Package placement decides which of them
+// may run a request.
 func (v *View) Ready(service string) []*Engine { return v.ready[service] }
 
-// Open returns the engines of a service that are not leaving and whose zones are known not to be evacuated, in the order of their IDs.
+// Open returns the ready engines of a service in zones known not to be evacuated, sorted by ID.
 func (v *View) Open(service string) []*Engine { return v.open[service] }
 
-// readyOutsideEvacuations returns the ready engines whose zones are known not to be evacuated, by service.
+// readyOutsideEvacuations returns the ready engines in zones known not to be evacuated, by service.
 func (v *View) readyOutsideEvacuations() map[string][]*Engine {
 	if v.Evacuations == nil {
 		return nil
@@ -77,23 +79,23 @@
 	return open
 }
 
-// State is the newest View. It is safe for concurrent use.
+// State holds the newest View. It is safe for concurrent use.
 type State struct {
 	mu      sync.RWMutex
 	view    *View
 	changed chan struct{}
-	// initial are the evacuations before SetEvacuations: nil, for unknown, after FollowEvacuations, else none.
+	// initial are the evacuations before SetEvacuations: nil (unknown) after FollowEvacuations, otherwise none.
 	initial *Evacuations
 }
 
-// NewState returns a State that knows no routes and no engines. No zone is evacuated unless FollowEvacuations is called.
+// NewState returns a State without routes and engines. No zone is evacuated unless FollowEvacuations is called.
 func NewState() *State {
 	none := &Evacuations{}
 	return &State{view: &View{Evacuations: none}, initial: none, changed: make(chan struct{})}
 }
 
-// FollowEvacuations makes the evacuations unknown until SetEvacuations, as for a process that follows them in the store. It must be called before
-// the state is used.
+// FollowEvacuations makes the evacuations unknown until SetEvacuations, for a process that reads them from the store. It
+// must be called before the state is used.
 func (s *State) FollowEvacuations() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -112,11 +114,12 @@
 	s.replace(&next)
 }
 
-// SetEvacuations replaces the evacuations. It reports false, and changes nothing, if the known ones are as of a later revision.
+// SetEvacuations replaces the evacuations. It reports false, and changes nothing, if the current ones have a later
+// revision.
 func (s *State) SetEvacuations(evacuations *Evacuations) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if known := s.view.Evacuations; known != nil && evacuations.revision < known.revision {
+	if current := s.view.Evacuations; current != nil && evacuations.revision < current.revision {
 		return false
 	}
 	next := *s.view
@@ -132,21 +135,23 @@
 	return s.view
 }
 
-// Changed returns the newest view and a channel that is closed when there is a newer one.
+// Changed returns the newest view and a channel that is closed when it is replaced.
 func (s *State) Changed() (*View, <-chan struct{}) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return s.view, s.changed
 }
 
-// Reset forgets everything but the topology, which comes from the settings: for a process that has not followed the deployment for a while.
+// Reset discards everything except the topology, which comes from the settings. It is for a process that has not
+// followed the deployment for a while.
 func (s *State) Reset() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.replace(&View{Topology: s.view.Topology, Evacuations: s.initial})
 }
 
-// SetRoutes puts a table in force. It reports false, and changes nothing, if the table is no newer than the one in force.
+// SetRoutes activates a route table. It reports false, and changes nothing, if the table is not newer than the active
+// one.
 func (s *State) SetRoutes(table *routing.Table) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -159,38 +164,39 @@
 	return true
 }
 
-// SetEngines replaces the engines. What it does grows with those that differ from the last ones, beside a copy of the services' lists.
+// SetEngines replaces the engines. Its cost grows with the number of changed engines, apart from a copy of each changed
+// service's list.
 func (s *State) SetEngines(engines sharedmap.Map[*Engine]) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	before := s.view
-	if sharedmap.Same(before.Engines, engines) && before.ready != nil {
+	if sharedmap.Identical(before.Engines, engines) && before.ready != nil {
 		return
 	}
 	next := *before
 	next.Engines = engines
 	lists := newReadyLists(before.ready)
 	sharedmap.Diff(before.Engines, engines, func(id string, engine *Engine) {
-		known, listed := before.Engines.Get(id)
-		if known == engine {
+		previous, listed := before.Engines.Get(id)
+		if previous == engine {
 			return
 		}
-		if listed && known.Ready {
-			lists.remove(known)
+		if listed && previous.Ready {
+			lists.remove(previous)
 		}
 		if engine.Ready {
 			lists.add(engine)
 		}
 	}, func(id string) {
-		if known, _ := before.Engines.Get(id); known.Ready {
-			lists.remove(known)
+		if previous, _ := before.Engines.Get(id); previous.Ready {
+			lists.remove(previous)
 		}
 	})
 	next.ready = lists.merged()
 	s.replace(&next)
 }
 
-// SetEngineList replaces the engines by those of a list.
+// SetEngineList replaces the engines with those of a list.
 func (s *State) SetEngineList(engines []*Engine) {
 	edit := sharedmap.Map[*Engine]{}.Edit()
 	for _, engine := range engines {
--- a/internal/fleet/state_test.go
+++ b/internal/fleet/state_test.go
@@ -13,8 +13,8 @@
 	return &Engine{ID: fmt.Sprintf("engine-%05d", number), Service: fmt.Sprint("service-", number%3), Zone: "z", Slots: 6, Ready: ready}
 }
 
-// Whatever engines come, change and go, the lists of ready engines are those of the engines.
-func TestReadyListsFollowTheEngines(t *testing.T) {
+// Incremental updates of the ready lists must give the same lists as a full rebuild.
+func TestReadyListsMatchEngines(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	state, engines := NewState(), sharedmap.Map[*Engine]{}
 	for range 300 {
@@ -43,14 +43,14 @@
 				got = append(got, engine.ID)
 			}
 			if !slices.Equal(got, wanted[name]) {
-				t.Fatalf("%s lists %v, want %v", name, got, wanted[name])
+				t.Fatalf("ready engines of %s: got %v, want %v", name, got, wanted[name])
 			}
 		}
 	}
 }
 
-// changeOneEngine changes one engine of so many, over and over.
-func changeOneEngine(b *testing.B, count int) {
+// benchmarkEngineChange repeatedly changes one engine of a fleet of the given size.
+func benchmarkEngineChange(b *testing.B, count int) {
 	state, all := NewState(), sharedmap.Map[*Engine]{}.Edit()
 	for number := range count {
 		engine := numberedEngine(number, true)
@@ -67,18 +67,17 @@
 	}
 }
 
-// BenchmarkChangeOfOneEngine measures a change of one engine: at 10,000 engines it takes at most ten times what it takes at 100. Each change made maps of
-// all engines anew.
-func BenchmarkChangeOfOneEngine(b *testing.B) {
+// BenchmarkEngineChange guards against updates that rebuild maps of all engines.
+func BenchmarkEngineChange(b *testing.B) {
 	for _, count := range []int{100, 1000, 10000} {
-		b.Run(fmt.Sprint(count), func(b *testing.B) { changeOneEngine(b, count) })
+		b.Run(fmt.Sprint(count), func(b *testing.B) { benchmarkEngineChange(b, count) })
 	}
 }
 
-// What a change of one engine allocates must not grow as the engines do, but for the copy of its service's list, a pointer an engine.
-func TestAChangeOfOneEngineAllocatesLittle(t *testing.T) {
+// Allocations of a change may grow only by the copy of its service's list: one pointer per engine.
+func TestEngineChangeAllocations(t *testing.T) {
 	allocated := func(count int) int64 {
-		return testing.Benchmark(func(b *testing.B) { changeOneEngine(b, count) }).AllocedBytesPerOp()
+		return testing.Benchmark(func(b *testing.B) { benchmarkEngineChange(b, count) }).AllocedBytesPerOp()
 	}
 	const pointer = 8
 	small, large := allocated(100), allocated(10000)
--- a/internal/fleet/topology.go
+++ b/internal/fleet/topology.go
@@ -5,21 +5,21 @@
 	"slices"
 )
 
-// Topology maps the zones of the deployment to their regions. It is immutable; the zero value knows no zone.
+// Topology maps the zones of the deployment to their regions. It is immutable; the zero value has no zones.
 type Topology struct {
 	regions map[string]string
 }
 
-// NewTopology returns the Topology of a map from zone to region.
+// NewTopology returns the Topology of a map from zones to regions.
 func NewTopology(regions map[string]string) Topology { return Topology{regions: maps.Clone(regions)} }
 
-// Region returns the region of a zone; empty if the zone is not known, where nothing that is bound to regions may go.
+// Region returns the region of a zone; empty for an unknown zone, which data bound to regions must not enter.
 func (t Topology) Region(zone string) string { return t.regions[zone] }
 
-// Zones returns the known zones in the order of their names.
+// Zones returns the known zones, sorted.
 func (t Topology) Zones() []string { return slices.Sorted(maps.Keys(t.regions)) }
 
-// Regional reports whether the known zones lie in more than one region.
+// Regional reports whether the known zones are in more than one region.
 func (t Topology) Regional() bool {
 	first := ""
 	for _, region := range t.regions {
--- a/internal/sharedmap/sharedmap.go
+++ b/internal/sharedmap/sharedmap.go
@@ -1,5 +1,5 @@
-// Package sharedmap has an immutable map of strings whose changed copies share what did not change: a change of k entries copies k small parts of it, and
-// finding out how two copies differ looks at those parts only.
+// Package sharedmap implements an immutable map with string keys. Modified copies share unchanged shards, so that an
+// edit and a diff cost in proportion to the number of changed entries.
 package sharedmap
 
 import (
@@ -9,8 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// shardCount is into how many parts the entries are divided: at 10,000 entries a part has some 40, and the list of parts, which each change copies, is
-// 2 KB.
+// shardCount trades the size of a shard, copied per changed entry, against that of the shard array, copied per edit.
 const shardCount = 256
 
 // Map is an immutable map. The zero value is empty. It is safe for concurrent use.
@@ -19,12 +18,12 @@
 	size   int
 }
 
-// shard holds the entries whose keys have one hash. It is not changed once it is part of a Map.
+// shard holds the entries of one hash bucket. It is not modified once it is part of a Map.
 type shard[V any] struct{ entries map[string]V }
 
-func shardOf(key string) int { return int(xxhash.Sum64String(key) % shardCount) }
+func shardIndex(key string) int { return int(xxhash.Sum64String(key) % shardCount) }
 
-// Of returns a Map of the entries of a map.
+// Of returns a Map with the entries of a Go map.
 func Of[V any](entries map[string]V) Map[V] {
 	edit := Map[V]{}.Edit()
 	for key, value := range entries {
@@ -36,12 +35,12 @@
 // Len returns the number of entries.
 func (m Map[V]) Len() int { return m.size }
 
-// Get returns the value of a key, and whether there is one.
+// Get returns the value of a key, and whether the key is present.
 func (m Map[V]) Get(key string) (value V, ok bool) {
 	if m.shards == nil {
 		return value, false
 	}
-	part := m.shards[shardOf(key)]
+	part := m.shards[shardIndex(key)]
 	if part == nil {
 		return value, false
 	}
@@ -49,7 +48,7 @@
 	return value, ok
 }
 
-// All returns the entries in no order.
+// All iterates over the entries in unspecified order.
 func (m Map[V]) All() iter.Seq2[string, V] {
 	return func(yield func(string, V) bool) {
 		if m.shards == nil {
@@ -68,22 +67,23 @@
 	}
 }
 
-// Same reports whether two maps are one: no entry was set or deleted between them.
-func Same[V any](a, b Map[V]) bool { return a.shards == b.shards }
+// Identical reports whether two maps share all shards, with no entry set or deleted between them. It may be false for equal
+// maps.
+func Identical[V any](a, b Map[V]) bool { return a.shards == b.shards }
 
-// Diff calls functions for the entries of after that may differ from before, and for the keys that after lacks. Entries of a part that was changed are
-// told although they are the same, so that the caller compares values.
+// Diff calls changed for the entries of after that may differ from before, and removed for the keys missing from after.
+// Unchanged entries of a modified shard are reported too, so that the caller must compare values.
 func Diff[V any](before, after Map[V], changed func(key string, value V), removed func(key string)) {
 	for number := range shardCount {
-		was, is := before.shard(number), after.shard(number)
-		if was == is {
+		old, current := before.shard(number), after.shard(number)
+		if old == current {
 			continue
 		}
-		for key, value := range is.all() {
+		for key, value := range current.all() {
 			changed(key, value)
 		}
-		for key := range was.all() {
-			if _, kept := is.all()[key]; !kept {
+		for key := range old.all() {
+			if _, kept := current.all()[key]; !kept {
 				removed(key)
 			}
 		}
@@ -113,19 +113,19 @@
 	return edit
 }
 
-// Editor changes a copy of a Map. It is not safe for concurrent use, and is of no more use after Map.
+// Editor modifies a copy of a Map. It is not safe for concurrent use, and must not be used after Map.
 type Editor[V any] struct {
 	from   Map[V]
 	shards [shardCount]*shard[V]
 	size   int
-	// owned are the parts that belong to this copy alone.
+	// owned are the shards already copied by this Editor.
 	owned map[int]struct{}
 }
 
-// own returns the part of a key, copied if other maps share it.
-func (e *Editor[V]) own(key string) *shard[V] {
-	number := shardOf(key)
-	if _, own := e.owned[number]; own {
+// ownedShard returns the shard of a key, copying it first if it is shared.
+func (e *Editor[V]) ownedShard(key string) *shard[V] {
+	number := shardIndex(key)
+	if _, owned := e.owned[number]; owned {
 		return e.shards[number]
 	}
 	e.owned[number] = struct{}{}
@@ -139,23 +139,23 @@
 
 // Set sets the value of a key.
 func (e *Editor[V]) Set(key string, value V) {
-	part := e.own(key)
+	part := e.ownedShard(key)
 	if _, known := part.entries[key]; !known {
 		e.size++
 	}
 	part.entries[key] = value
 }
 
-// Delete removes a key, if it is there.
+// Delete deletes a key, if present.
 func (e *Editor[V]) Delete(key string) {
-	if _, known := e.shards[shardOf(key)].all()[key]; !known {
+	if _, known := e.shards[shardIndex(key)].all()[key]; !known {
 		return
 	}
-	delete(e.own(key).entries, key)
+	delete(e.ownedShard(key).entries, key)
 	e.size--
 }
 
-// Map returns the changed copy, or the map itself if nothing was set or deleted.
+// Map returns the modified copy, or the original map if nothing was set or deleted.
 func (e *Editor[V]) Map() Map[V] {
 	if len(e.owned) == 0 {
 		return e.from
--- a/internal/sharedmap/sharedmap_test.go
+++ b/internal/sharedmap/sharedmap_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// Whatever is set and deleted, copies hold what a plain map would, and earlier ones stay as they were.
-func TestMapHoldsWhatAPlainMapWould(t *testing.T) {
+// A Map must agree with a Go map under random edits, and earlier copies must stay unchanged.
+func TestMapMatchesGoMap(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	plain, shared := make(map[string]int), Map[int]{}
 	for range 300 {
@@ -27,15 +27,15 @@
 		}
 		shared = edit.Map()
 		if got := maps.Collect(shared.All()); !maps.Equal(got, plain) || shared.Len() != len(plain) {
-			t.Fatalf("holds %v, want %v", got, plain)
+			t.Fatalf("map after the edits: got %v, want %v", got, plain)
 		}
 		if got := maps.Collect(before.All()); !maps.Equal(got, beforePlain) {
-			t.Fatalf("an earlier copy holds %v, want %v", got, beforePlain)
+			t.Fatalf("earlier copy changed: got %v, want %v", got, beforePlain)
 		}
 		applied := maps.Clone(beforePlain)
 		Diff(before, shared, func(key string, value int) { applied[key] = value }, func(key string) { delete(applied, key) })
 		if !maps.Equal(applied, plain) {
-			t.Fatalf("the difference makes %v, want %v", applied, plain)
+			t.Fatalf("earlier copy with the diff applied: got %v, want %v", applied, plain)
 		}
 	}
 }
@@ -48,22 +48,22 @@
 	return Of(entries)
 }
 
-// A change of one entry copied all of them, which grew with the fleet.
-func TestAChangeCostsThatChange(t *testing.T) {
+// Guards against a diff that visits all entries for a single change.
+func TestDiffVisitsChangedShardsOnly(t *testing.T) {
 	for _, count := range []int{100, 10000} {
 		before := numbered(count)
 		edit := before.Edit()
 		edit.Set("engine-00007", -1)
 		after := edit.Map()
-		told := 0
-		Diff(before, after, func(string, int) { told++ }, func(string) { t.Error("an entry is told to be gone") })
-		if most := 4*count/shardCount + 4; told > most {
-			t.Errorf("one change of %d entries is told as %d", count, told)
+		reported := 0
+		Diff(before, after, func(string, int) { reported++ }, func(string) { t.Error("Diff reported a removal") })
+		if limit := 4*count/shardCount + 4; reported > limit {
+			t.Errorf("Diff reported one change among %d entries as %d", count, reported)
 		}
 	}
 }
 
-// BenchmarkChange measures a change of one entry and finding it: at 10,000 entries it takes at most ten times what it takes at 100.
+// BenchmarkChange guards against edits and diffs whose cost grows with the number of entries.
 func BenchmarkChange(b *testing.B) {
 	for _, count := range []int{100, 1000, 10000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
--- a/internal/storerelay/client.go
+++ b/internal/storerelay/client.go
@@ -14,85 +14,86 @@
 	"github.com/covelink/covelink/internal/quarantine"
 )
 
-// ClientParams are what a Client works with.
+// ClientParams configures a Client.
 type ClientParams struct {
-	// Direct follows the store.
+	// Direct follows the store while no hub answers.
 	Direct *metastore.Followers
-	// Poll asks the hub of the process at an address.
+	// Poll polls the hub of the process at an address.
 	Poll func(ctx context.Context, address string, request PollRequest) (PollReply, error)
-	// Coordinator returns the internal address of the coordinating process, or "".
+	// Coordinator returns the coordinator's internal address, or "".
 	Coordinator func() string
-	// Seeds are internal addresses of processes that may coordinate, known from the start. They may be out of date.
+	// Seeds are the configured internal addresses of coordinator candidates. They may be out of date.
 	Seeds []string
-	// Quarantine takes in what hubs know of requests under which engines have ended; nil for nobody.
+	// Quarantine is merged with the quarantine records of hubs; may be nil.
 	Quarantine *quarantine.Table
-	// Lease is the kind that tells who coordinates. A client that knows nobody to ask follows it in the store at once.
+	// Lease is the kind that holds the coordinator lease. A client without seeds reads it from the store immediately.
 	Lease string
-	// Patience is how long the client waits for a hub to answer again before it follows the store itself; zero means DefaultPatience.
+	// Patience is how long the client waits for a hub after losing one before it follows the store directly; zero means
+	// DefaultPatience.
 	Patience time.Duration
-	// Name is the process's, by which it chooses its relay.
+	// Name is the process name, from which the relay is selected.
 	Name string
-	// Relay is true if the client is that of a relay, and asks nobody but the coordinating process.
+	// Relay is set for the client of a relay, which polls the coordinator only.
 	Relay bool
-	// Confirmed is told of each kind as it was known to be at a moment of boottime, Learned of each answer of the coordinating process, and Served
-	// returns the processes to tell it of. They are for relays; nil for nobody.
+	// Confirmed is called with each kind and the boottime at which it was known to be current, Learned with each fresh
+	// reply; Served returns the processes to report to the coordinator. They are set by relays; each may be nil.
 	Confirmed func(kind string, snapshot metastore.Snapshot, at time.Time)
 	Learned   func(reply PollReply)
 	Served    func() []ServedProcess
 	Logger    log.Logger
 }
 
-// Client keeps copies of kinds of the store's objects, from the coordinating process where that answers. It implements
-// metastore.Follower.
+// Client maintains copies of kinds of the store, from a hub while one answers and from the store otherwise. It
+// implements metastore.Follower.
 type Client struct {
 	ClientParams
 
 	mu    sync.Mutex
 	kinds map[string]*subscription
-	// relayed is true while a hub answers.
+	// relayed is set while a hub answers.
 	relayed bool
-	// switched is closed when relayed changes.
-	switched chan struct{}
-	// lostAt is when relayed last became false, or the client was made.
-	lostAt time.Time
-	// servedAt is when the store began to show the lease to this client; zero while it does not.
-	servedAt time.Time
-	// confirmed is up to when each kind is known to be as the store holds it.
-	confirmed map[string]time.Time
-	// crowded is when a hub last said that the fleet is large; zero for never.
-	crowded time.Time
-	// workerShare is the share of the gateways that are to run batch items, as a hub told it last; zero means all.
+	// modeChanged is closed when relayed changes.
+	modeChanged chan struct{}
+	// hubLostAt is when relayed was last reset, or when the client was created.
+	hubLostAt time.Time
+	// leaseObservedAt is since when the lease can be read from the store; zero while it cannot.
+	leaseObservedAt time.Time
+	// confirmedAt is the boottime as of which each kind is known to be current.
+	confirmedAt map[string]time.Time
+	// crowdedAt is when a hub last reported a large fleet; zero for never.
+	crowdedAt time.Time
+	// workerShare is the last received fraction of gateways that run batch items; zero means all.
 	workerShare float64
-	// guided is true once a hub that is up to date has told it.
-	guided bool
-	// quarantined is up to where the last hub's table is known. It belongs to Run.
-	quarantined quarantine.Cursor
+	// workerShareKnown is set by the first fresh reply.
+	workerShareKnown bool
+	// quarantineCursor is the client's position in the quarantine table of the hub. Only Run uses it.
+	quarantineCursor quarantine.Cursor
 }
 
 var _ metastore.Follower = (*Client)(nil)
 
-// NewClient returns a Client. Run makes it poll.
+// NewClient returns a Client. It polls once Run is called.
 func NewClient(params ClientParams) *Client {
 	if params.Patience == 0 {
 		params.Patience = DefaultPatience
 	}
-	c := &Client{ClientParams: params, kinds: make(map[string]*subscription), switched: make(chan struct{}), lostAt: time.Now()}
-	c.confirmed = make(map[string]time.Time)
+	c := &Client{ClientParams: params, kinds: make(map[string]*subscription), modeChanged: make(chan struct{}), hubLostAt: time.Now()}
+	c.confirmedAt = make(map[string]time.Time)
 	params.Direct.Confirmed = func(kind string, snapshot metastore.Snapshot) {
-		c.noteServed(kind, true)
-		c.noteConfirmed(kind, snapshot, boottime.Now())
+		c.recordLeaseObserved(kind, true)
+		c.recordConfirmed(kind, snapshot, boottime.Now())
 	}
-	params.Direct.Doubted = func(kind string) { c.noteServed(kind, false) }
+	params.Direct.Doubted = func(kind string) { c.recordLeaseObserved(kind, false) }
 	params.Direct.MaxWait = c.maxWatchWait
 	return c
 }
 
-// Follow implements metastore.Follower. A kind may be followed once.
+// Follow implements metastore.Follower. A kind can be followed once at a time.
 func (c *Client) Follow(ctx context.Context, kind string, options metastore.FollowOptions) {
-	followed := newSubscription(options.Changed)
-	options.Changed = followed.take
+	sub := newSubscription(options.Changed)
+	options.Changed = sub.update
 	c.mu.Lock()
-	c.kinds[kind] = followed
+	c.kinds[kind] = sub
 	c.mu.Unlock()
 	defer func() {
 		c.mu.Lock()
@@ -100,62 +101,63 @@
 		delete(c.kinds, kind)
 	}()
 	for ctx.Err() == nil {
-		relayed, switched := c.mode()
+		relayed, modeChanged := c.mode()
 		if relayed {
-			waitFor(ctx, switched)
+			waitFor(ctx, modeChanged)
 			continue
 		}
-		if c.hubReturns(ctx, kind, followed, switched) {
+		if c.waitForHub(ctx, kind, sub, modeChanged) {
 			continue
 		}
-		options.From = followed.current()
-		c.followDirectly(ctx, kind, options, switched)
+		options.From = sub.current()
+		c.followDirectly(ctx, kind, options, modeChanged)
 	}
 }
 
-// patience returns how long a kind waits for a hub.
-func (c *Client) patience(kind string, followed *subscription) time.Duration {
+// hubTimeout returns how long a kind waits for a hub before the store is followed directly.
+func (c *Client) hubTimeout(kind string, sub *subscription) time.Duration {
 	switch {
-	case followed.known():
+	case sub.known():
 		return c.Patience
 	case kind == c.Lease && len(c.Seeds) == 0:
 		return 0
 	}
-	return startPatience + rand.N(startJitter)
+	return startupTimeout + rand.N(startupJitter)
 }
 
-// crowdedLately reports whether a hub has lately said that the fleet is large. The mutex must be held.
-func (c *Client) crowdedLately() bool {
-	return !c.crowded.IsZero() && time.Since(c.crowded) < crowdedPatience
+// recentlyCrowded reports whether a hub has reported a large fleet within crowdedStartupTimeout. The mutex must be held.
+func (c *Client) recentlyCrowded() bool {
+	return !c.crowdedAt.IsZero() && time.Since(c.crowdedAt) < crowdedStartupTimeout
 }
 
-// learnGuidance takes in what a reply tells beside objects.
-func (c *Client) learnGuidance(reply PollReply) {
+// applyGuidance applies the crowded flag and the worker share of a reply.
+func (c *Client) applyGuidance(reply PollReply) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if reply.Crowded {
-		c.crowded = time.Now()
+		c.crowdedAt = time.Now()
 	}
 	if reply.Fresh {
-		c.workerShare, c.guided = reply.WorkerShare, true
+		c.workerShare, c.workerShareKnown = reply.WorkerShare, true
 	}
 }
 
-// WorkerShare returns the share of the gateways that are to run batch items, from 0 to 1; zero means all. known is false until a hub has told it.
+// WorkerShare returns the fraction of gateways that run batch items, from 0 to 1; zero means all. known is false until a
+// fresh reply was received.
 func (c *Client) WorkerShare() (share float64, known bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.workerShare, c.guided
+	return c.workerShare, c.workerShareKnown
 }
 
-// hubReturns waits for a hub to answer. It returns false once a kind is to be followed in the store.
-func (c *Client) hubReturns(ctx context.Context, kind string, followed *subscription, switched <-chan struct{}) bool {
-	patience := c.patience(kind, followed)
-	ticker := time.NewTicker(patienceCheck)
+// waitForHub waits until a hub answers or ctx ends. It returns false if the kind must be followed in the store instead.
+func (c *Client) waitForHub(ctx context.Context, kind string, sub *subscription, modeChanged <-chan struct{}) bool {
+	timeout := c.hubTimeout(kind, sub)
+	ticker := time.NewTicker(failoverCheckInterval)
 	defer ticker.Stop()
-	for !c.overdue(kind, followed.known(), patience) {
+	for !c.hubOverdue(kind, sub.known(), timeout) {
 		select {
-		case <-switched:
+		case <-modeChanged:
 			return true
 		case <-ctx.Done():
 			return true
@@ -165,95 +167,96 @@
 	return false
 }
 
-// overdue reports whether a hub should have answered by now, and the store is known to serve this client or not asked yet.
-func (c *Client) overdue(kind string, known bool, patience time.Duration) bool {
+// hubOverdue reports whether no hub has answered within the timeout. While the lease is followed, other kinds wait until
+// it can be read from the store, so that a store that is down receives one call per client.
+func (c *Client) hubOverdue(kind string, known bool, timeout time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !known && c.crowdedLately() {
-		patience = max(patience, crowdedPatience)
+	if !known && c.recentlyCrowded() {
+		timeout = max(timeout, crowdedStartupTimeout)
 	}
-	if time.Since(c.lostAt) < patience {
+	if time.Since(c.hubLostAt) < timeout {
 		return false
 	}
 	if _, leaseFollowed := c.kinds[c.Lease]; kind == c.Lease || !leaseFollowed {
 		return true
 	}
-	if c.servedAt.IsZero() {
+	if c.leaseObservedAt.IsZero() {
 		return false
 	}
-	return known || time.Since(c.servedAt) >= leaseHeadStart
+	return known || time.Since(c.leaseObservedAt) >= leaseHeadStart
 }
 
-// ConfirmedAt returns up to when, by boottime, a kind is known to be as the store holds it; zero if it never was.
+// ConfirmedAt returns the boottime as of which a kind is known to be current; zero if it never was.
 func (c *Client) ConfirmedAt(kind string) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.confirmed[kind]
+	return c.confirmedAt[kind]
 }
 
-func (c *Client) noteConfirmed(kind string, snapshot metastore.Snapshot, at time.Time) {
+func (c *Client) recordConfirmed(kind string, snapshot metastore.Snapshot, at time.Time) {
 	if c.Confirmed != nil {
 		c.Confirmed(kind, snapshot, at)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if at.After(c.confirmed[kind]) {
-		c.confirmed[kind] = at
+	if at.After(c.confirmedAt[kind]) {
+		c.confirmedAt[kind] = at
 	}
 }
 
-// maxWatchWait bounds the waits of watches until the first is answered: only then is it known that the store serves this client.
+// maxWatchWait bounds the first watch, whose answer shows whether the store is reachable.
 func (c *Client) maxWatchWait(string) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.servedAt.IsZero() {
-		return probeWait
+	if c.leaseObservedAt.IsZero() {
+		return firstWatchWait
 	}
 	return 0
 }
 
-// noteServed notes whether the store shows a kind to this client.
-func (c *Client) noteServed(kind string, served bool) {
+// recordLeaseObserved records whether the lease can be read from the store.
+func (c *Client) recordLeaseObserved(kind string, observed bool) {
 	if kind != c.Lease {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case !served:
-		c.servedAt = time.Time{}
-	case c.servedAt.IsZero():
-		c.servedAt = time.Now()
+	case !observed:
+		c.leaseObservedAt = time.Time{}
+	case c.leaseObservedAt.IsZero():
+		c.leaseObservedAt = time.Now()
 	}
 }
 
 // followDirectly follows a kind in the store until a hub answers or ctx ends.
-func (c *Client) followDirectly(ctx context.Context, kind string, options metastore.FollowOptions, switched <-chan struct{}) {
+func (c *Client) followDirectly(ctx context.Context, kind string, options metastore.FollowOptions, modeChanged <-chan struct{}) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	level.Info(c.Logger).Log("msg", "kind followed in the store", "kind", kind, "revision", options.From.Revision)
+	level.Info(c.Logger).Log("msg", "following kind directly in the store", "kind", kind, "revision", options.From.Revision)
 	go func() {
-		waitFor(ctx, switched)
+		waitFor(ctx, modeChanged)
 		cancel()
 	}()
 	options.RetryPause = directRetryPause
 	c.Direct.Follow(ctx, kind, options)
 }
 
-func waitFor(ctx context.Context, happened <-chan struct{}) {
+func waitFor(ctx context.Context, done <-chan struct{}) {
 	select {
-	case <-happened:
+	case <-done:
 	case <-ctx.Done():
 	}
 }
 
-func (c *Client) mode() (relayed bool, switched <-chan struct{}) {
+func (c *Client) mode() (relayed bool, modeChanged <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.relayed, c.switched
+	return c.relayed, c.modeChanged
 }
 
-// setRelayed notes whether a hub answers.
+// setRelayed records whether a hub answers, and wakes the followers on a change.
 func (c *Client) setRelayed(relayed bool, address string, cause error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -262,10 +265,10 @@
 	}
 	c.relayed = relayed
 	if !relayed {
-		c.lostAt, c.servedAt = time.Now(), time.Time{}
+		c.hubLostAt, c.leaseObservedAt = time.Now(), time.Time{}
 	}
-	close(c.switched)
-	c.switched = make(chan struct{})
+	close(c.modeChanged)
+	c.modeChanged = make(chan struct{})
 	message := "coordinator relays the store"
 	if !relayed {
 		message = "coordinator does not relay the store"
--- a/internal/storerelay/client_poll.go
+++ b/internal/storerelay/client_poll.go
@@ -11,137 +11,138 @@
 	"github.com/covelink/covelink/internal/quarantine"
 )
 
-// Run polls the coordinating process, or a relay of it, until ctx ends, and looks for one among the candidates while none answers.
+// Run polls the coordinator or a relay until ctx ends. While neither answers, it polls the candidates.
 func (c *Client) Run(ctx context.Context) {
-	// A hub is up to date for a client that asks for nothing: the answer would count as relayed, and the next one as a loss.
-	pause.For(ctx, firstPollPause)
-	known := newCandidates(c.Name, c.Seeds)
+	// A hub answers a poll without kinds as fresh. Polling before kinds are followed would count as a hub gained and
+	// lost.
+	pause.For(ctx, firstPollDelay)
+	targets := newTargetSelector(c.Name, c.Seeds)
 	for ctx.Err() == nil {
-		before := c.Coordinator()
-		address, how := known.choose(before)
+		coordinator := c.Coordinator()
+		address, mode := targets.selectTarget(coordinator)
 		started := boottime.Now()
 		reply, err := PollReply{}, error(nil)
 		if address != "" {
-			reply, err = c.poll(ctx, address, how)
+			reply, err = c.poll(ctx, address, mode)
 		}
 		if err == nil {
-			err = c.take(reply, known)
+			err = c.applyReply(reply, targets)
 		}
 		if ctx.Err() != nil {
 			return
 		}
 		if reply.Fresh && err == nil {
-			known.answered()
-			c.confirm(reply, started)
+			targets.recordSuccess()
+			c.recordConfirmations(reply, started)
 			c.setRelayed(true, address, nil)
 			continue
 		}
 		if reply.Redirect && err == nil {
-			// The relay is asked at once. Until it answers, what is known stays in use as after a loss.
-			if !known.redirect() {
+			// Poll the relay immediately. Cached snapshots stay in use, as after a loss of the hub.
+			if !targets.recordRedirect() {
 				pause.For(ctx, retryPause)
 			}
 			continue
 		}
 		c.setRelayed(false, address, err)
-		if found := c.Coordinator(); found != before && found != "" {
+		if current := c.Coordinator(); current != coordinator && current != "" {
 			continue
 		}
-		if how.relay {
-			known.relayFailed(err == nil)
+		if mode.relay {
+			targets.recordRelayFailure(err == nil)
 		} else {
-			known.failed(boottime.Since(started))
+			targets.recordFailure(boottime.Since(started))
 		}
-		if !how.relay || err == nil {
-			// A relay that does not answer is no sign that the next one will not: it is asked at once.
+		if !mode.relay || err == nil {
+			// A relay that does not answer says nothing about the next one: poll that without a pause.
 			pause.For(ctx, retryPause)
 		}
 	}
 }
 
-// take takes in all that a reply tells but how fresh it is.
-func (c *Client) take(reply PollReply, known *candidates) error {
+// applyReply applies everything in a reply except its freshness.
+func (c *Client) applyReply(reply PollReply, targets *targetSelector) error {
 	if !c.Relay {
-		known.learn(reply.Candidates)
+		targets.setPeers(reply.Candidates)
 	}
-	c.learnQuarantine(reply.Quarantine)
-	c.learnGuidance(reply)
+	c.mergeQuarantine(reply.Quarantine)
+	c.applyGuidance(reply)
 	if c.Learned != nil && reply.Fresh {
 		c.Learned(reply)
 	}
-	return c.apply(reply)
+	return c.applyChanges(reply)
 }
 
-// confirm notes as of when a reply to a poll that began at a moment is true. The hub got the poll no earlier than it was sent, and answered Held later.
-func (c *Client) confirm(reply PollReply, started time.Time) {
+// recordConfirmations records the time as of which a reply is current. The hub received the poll after started, and
+// answered Held later.
+func (c *Client) recordConfirmations(reply PollReply, started time.Time) {
 	at := started.Add(reply.Held - reply.Age)
 	kinds := c.subscriptions()
 	for kind := range reply.Revisions {
-		if followed, ok := kinds[kind]; ok {
-			c.noteConfirmed(kind, followed.current(), at)
+		if sub, ok := kinds[kind]; ok {
+			c.recordConfirmed(kind, sub.current(), at)
 		}
 	}
 }
 
-// poll asks the hub of the process at an address.
-func (c *Client) poll(ctx context.Context, address string, how manner) (PollReply, error) {
-	request := PollRequest{Known: c.known(), Quarantine: c.quarantined, Wait: pollWait, Relay: c.Relay, Relayed: how.relay, MayRedirect: how.mayRedirect}
+func (c *Client) poll(ctx context.Context, address string, mode pollMode) (PollReply, error) {
+	request := PollRequest{Known: c.knownRevisions(), Quarantine: c.quarantineCursor, Wait: pollWait, Relay: c.Relay, Relayed: mode.relay, MayRedirect: mode.mayRedirect}
 	if c.Served != nil {
 		request.Served = c.Served()
 	}
 	relayed, _ := c.mode()
-	var limit time.Duration
+	var timeout time.Duration
 	switch {
 	case relayed:
-		limit = request.Wait + pollMargin
-	case how.relay && !c.knowsNothing():
-		// Another relay in place of one that was lost: it has what is asked for, or gets it from the coordinating process meanwhile.
-		request.Wait, request.ReadyWait, limit = time.Millisecond, relayProbe, relayProbe+relayProbeMargin
-	case how.relay:
-		// The relay may have to ask the coordinating process first.
-		request.Wait, request.ReadyWait, limit = time.Millisecond, guideWait, guideWait+listMargin
+		timeout = request.Wait + pollMargin
+	case mode.relay && !c.hasUnknownKind():
+		// Replacement for a lost relay: it is up to date, or becomes so within relayProbeWait.
+		request.Wait, request.ReadyWait, timeout = time.Millisecond, relayProbeWait, relayProbeWait+relayProbeMargin
+	case mode.relay:
+		// The relay may first have to poll the coordinator.
+		request.Wait, request.ReadyWait, timeout = time.Millisecond, referralWait, referralWait+fullListMargin
 	default:
-		// The first poll only asks whether the hub is of use. One that is not may still wait for news of who coordinates.
-		request.Wait, limit = time.Millisecond, guideWait+pollMargin
+		// The first poll only determines whether the hub can serve. A hub that cannot still waits for a new coordinator.
+		request.Wait, timeout = time.Millisecond, referralWait+pollMargin
 	}
-	if c.Relay && c.knowsNothing() {
-		limit = guideWait + listMargin
+	if c.Relay && c.hasUnknownKind() {
+		timeout = referralWait + fullListMargin
 	}
-	ctx, cancel := context.WithTimeout(ctx, limit)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	return c.Poll(ctx, address, request)
 }
 
-// knowsNothing reports whether a kind beside the lease is unknown.
-func (c *Client) knowsNothing() bool {
-	for kind, followed := range c.subscriptions() {
-		if kind != c.Lease && !followed.known() {
+// hasUnknownKind reports whether a followed kind other than the lease has no snapshot yet.
+func (c *Client) hasUnknownKind() bool {
+	for kind, sub := range c.subscriptions() {
+		if kind != c.Lease && !sub.known() {
 			return true
 		}
 	}
 	return false
 }
 
-// learnQuarantine takes in what is new in a hub's table.
-func (c *Client) learnQuarantine(news quarantine.News) {
+// mergeQuarantine merges the new records of the hub's quarantine table.
+func (c *Client) mergeQuarantine(news quarantine.News) {
 	if c.Quarantine == nil || news.Cursor == (quarantine.Cursor{}) {
 		return
 	}
 	c.Quarantine.Merge(news.Records)
-	c.quarantined = news.Cursor
+	c.quarantineCursor = news.Cursor
 }
 
-// known returns up to which revision each kind is known; zero for those that are not.
-func (c *Client) known() map[string]metastore.Revision {
-	known := make(map[string]metastore.Revision)
-	for kind, followed := range c.subscriptions() {
-		known[kind] = followed.current().Revision
+// knownRevisions returns the revision of each followed kind; zero for a kind without a snapshot.
+func (c *Client) knownRevisions() map[string]metastore.Revision {
+	revisions := make(map[string]metastore.Revision)
+	for kind, sub := range c.subscriptions() {
+		revisions[kind] = sub.current().Revision
 	}
-	return known
+	return revisions
 }
 
-// apply takes in a reply, all of it or nothing.
-func (c *Client) apply(reply PollReply) error {
+// applyChanges applies all changes of a reply, or none if one cannot be decoded.
+func (c *Client) applyChanges(reply PollReply) error {
 	changes := make([]Change, 0, len(reply.Changes))
 	for _, packed := range reply.Changes {
 		change, err := packed.unpacked()
@@ -152,13 +153,13 @@
 	}
 	kinds := c.subscriptions()
 	for _, change := range changes {
-		if followed, ok := kinds[change.Kind]; ok {
-			followed.apply(change)
+		if sub, ok := kinds[change.Kind]; ok {
+			sub.apply(change)
 		}
 	}
 	for kind, revision := range reply.Revisions {
-		if followed, ok := kinds[kind]; ok {
-			followed.advance(revision)
+		if sub, ok := kinds[kind]; ok {
+			sub.advanceRevision(revision)
 		}
 	}
 	return nil
--- a/internal/storerelay/packed.go
+++ b/internal/storerelay/packed.go
@@ -10,8 +10,7 @@
 	"github.com/covelink/covelink/internal/metastore"
 )
 
-// maxUnpackedBytes bounds what a packed list may grow to when it is decompressed: more than any list of a deployment that the store
-// hands out page by page.
+// maxUnpackedBytes bounds the decompressed size of a list, against corrupt or malicious input.
 const maxUnpackedBytes = 64 << 20
 
 // pack encodes and compresses objects.
@@ -19,28 +18,28 @@
 	var packed bytes.Buffer
 	compressor, err := flate.NewWriter(&packed, flate.BestSpeed)
 	if err != nil {
-		return nil, fmt.Errorf("storerelay: pack: %w", err)
+		return nil, fmt.Errorf("storerelay: compress objects: %w", err)
 	}
 	if err := gob.NewEncoder(compressor).Encode(objects); err != nil {
-		return nil, fmt.Errorf("storerelay: pack: %w", err)
+		return nil, fmt.Errorf("storerelay: compress objects: %w", err)
 	}
 	if err := compressor.Close(); err != nil {
-		return nil, fmt.Errorf("storerelay: pack: %w", err)
+		return nil, fmt.Errorf("storerelay: compress objects: %w", err)
 	}
 	return packed.Bytes(), nil
 }
 
-// unpack is the reverse of pack.
+// unpack reverses pack.
 func unpack(packed []byte) ([]metastore.Object, error) {
 	content := io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxUnpackedBytes)
 	var objects []metastore.Object
 	if err := gob.NewDecoder(content).Decode(&objects); err != nil {
-		return nil, fmt.Errorf("storerelay: unpack: %w", err)
+		return nil, fmt.Errorf("storerelay: decompress objects: %w", err)
 	}
 	return objects, nil
 }
 
-// unpacked returns a change with its objects decoded.
+// unpacked returns the change with its objects decoded.
 func (c Change) unpacked() (Change, error) {
 	if len(c.Packed) == 0 {
 		return c, nil
--- a/internal/storerelay/pollers.go
+++ b/internal/storerelay/pollers.go
@@ -13,206 +13,207 @@
 )
 
 const (
-	// pollerMemory is how long a process that has stopped polling stays listed: long enough that operators see one that is cut off, and short
-	// enough that machines which were replaced do not pile up.
-	pollerMemory = 5 * time.Minute
-	// maxPollers bounds the processes that a hub remembers, some 400 bytes each: four times the largest deployment.
+	// pollerRetention is how long a process that no longer polls stays listed, so that operators see that it is cut off.
+	pollerRetention = 5 * time.Minute
+	// maxPollers bounds the memory for poll records.
 	maxPollers = 4096
-	// countedWithin is how lately a process must have polled to count: longer than relays leave between two lists of whom they answer.
-	countedWithin = 5 * time.Second
+	// activeWindow is how recently a process must have polled to be counted. It exceeds servedReportInterval.
+	activeWindow = 5 * time.Second
 )
 
 // Poller is a process that polls a hub.
 type Poller struct {
 	Name, Zone string
-	// Known is the revision of the kind that it held when it last polled; zero for none.
+	// Known is the revision of the kind at the last poll; zero for none.
 	Known metastore.Revision
-	// Age is how long ago it last polled.
+	// Age is the time since the last poll.
 	Age time.Duration
-	// Relay names the process that answered it for the coordinating process; empty if that did so itself.
+	// Relay names the process that answered on behalf of the coordinator; empty if the coordinator answered.
 	Relay string
 }
 
-// Spread shows which processes hold the newest content of a kind.
+// Spread reports which processes have the newest content of a kind.
 type Spread struct {
-	// Revision is that of the newest content; zero if the hub knows nothing of the kind.
+	// Revision is the revision of the newest content; zero if the kind is unknown.
 	Revision metastore.Revision
-	// Pollers are the processes that follow the kind and have polled within pollerMemory, sorted by name.
+	// Pollers are the processes that follow the kind and have polled within pollerRetention, sorted by name.
 	Pollers []Poller
 }
 
-// Holds reports whether a process held the newest content when it last polled.
+// Holds reports whether a process had the newest content at its last poll.
 func (s Spread) Holds(poller Poller) bool { return s.Revision > 0 && poller.Known >= s.Revision }
 
-// pollers remembers which revisions each process held when it last polled. It is safe for concurrent use.
+// pollers records the last poll of each process. It is safe for concurrent use.
 type pollers struct {
-	mu   sync.Mutex
-	last map[string]poll
-	// servedAt is when served last returned the processes.
-	servedAt time.Time
+	mu     sync.Mutex
+	byName map[string]pollRecord
+	// servedReportedAt is when servedProcesses last returned the processes.
+	servedReportedAt time.Time
 }
 
-// poll is a process's last poll.
-type poll struct {
+// pollRecord is the last pollRecord of a process.
+type pollRecord struct {
 	zone  string
 	known map[string]metastore.Revision
 	at    time.Time
-	// relay names the process that answered it; empty for this one.
+	// relay names the process that answered; empty for this one.
 	relay string
 }
 
-// counts reports whether the poll was within countedWithin.
-func (p poll) counts(now time.Time) bool { return now.Sub(p.at) <= countedWithin }
+// active reports whether the poll was within activeWindow.
+func (p pollRecord) active(now time.Time) bool { return now.Sub(p.at) <= activeWindow }
 
-// note records a poll. The map must not be changed afterwards.
-func (p *pollers) note(peer rpc.Peer, known map[string]metastore.Revision, now time.Time) {
+// record stores a poll. The map must not be modified afterwards.
+func (p *pollers) record(peer rpc.Peer, known map[string]metastore.Revision, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.set(peer.Name, poll{zone: peer.Zone, known: known, at: now})
+	p.setIfNewer(peer.Name, pollRecord{zone: peer.Zone, known: known, at: now})
 }
 
-// set takes in a poll, unless a later one of the process is known. The mutex must be held.
-func (p *pollers) set(name string, made poll) {
-	if p.last == nil {
-		p.last = make(map[string]poll)
+// setIfNewer stores a poll unless a later one of the process is stored. The mutex must be held.
+func (p *pollers) setIfNewer(name string, record pollRecord) {
+	if p.byName == nil {
+		p.byName = make(map[string]pollRecord)
 	}
-	known, listed := p.last[name]
-	if listed && known.at.After(made.at) {
+	stored, listed := p.byName[name]
+	if listed && stored.at.After(record.at) {
 		return
 	}
-	if !listed && len(p.last) >= maxPollers {
-		p.forgetOldest()
+	if !listed && len(p.byName) >= maxPollers {
+		p.evictOldest()
 	}
-	p.last[name] = made
+	p.byName[name] = record
 }
 
-// noteServed takes in the processes that a relay answers.
-func (p *pollers) noteServed(relay string, served []ServedProcess, now time.Time) {
+// recordServed stores the polls that a relay has answered.
+func (p *pollers) recordServed(relay string, served []ServedProcess, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, process := range served {
-		p.set(process.Name, poll{zone: process.Zone, known: process.Known, at: now.Add(-process.Age), relay: relay})
+		p.setIfNewer(process.Name, pollRecord{zone: process.Zone, known: process.Known, at: now.Add(-process.Age), relay: relay})
 	}
 }
 
-// served returns the processes that have polled within countedWithin, or nil if it returned them less than servedInterval ago.
-func (p *pollers) served(now time.Time) []ServedProcess {
+// servedProcesses returns the active processes; nil if it returned them less than servedReportInterval ago.
+func (p *pollers) servedProcesses(now time.Time) []ServedProcess {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if now.Sub(p.servedAt) < servedInterval {
+	if now.Sub(p.servedReportedAt) < servedReportInterval {
 		return nil
 	}
-	p.servedAt = now
+	p.servedReportedAt = now
 	var processes []ServedProcess
-	for name, last := range p.last {
-		if last.counts(now) {
-			processes = append(processes, ServedProcess{Name: name, Zone: last.zone, Known: last.known, Age: now.Sub(last.at)})
+	for name, record := range p.byName {
+		if record.active(now) {
+			processes = append(processes, ServedProcess{Name: name, Zone: record.zone, Known: record.known, Age: now.Sub(record.at)})
 		}
 	}
 	return processes
 }
 
-// count returns how many processes have polled within countedWithin. It looks at all of them.
-func (p *pollers) count(now time.Time) int {
+// countActive returns the number of active processes, in time linear in the number of records.
+func (p *pollers) countActive(now time.Time) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	counted := 0
-	for _, last := range p.last {
-		if last.counts(now) {
-			counted++
+	count := 0
+	for _, record := range p.byName {
+		if record.active(now) {
+			count++
 		}
 	}
-	return counted
+	return count
 }
 
-// forgetOldest makes room for one more process. The mutex must be held.
-func (p *pollers) forgetOldest() {
+// evictOldest removes the process whose last poll is the oldest. The mutex must be held.
+func (p *pollers) evictOldest() {
 	oldest := ""
-	for name, last := range p.last {
-		if oldest == "" || last.at.Before(p.last[oldest].at) {
+	for name, record := range p.byName {
+		if oldest == "" || record.at.Before(p.byName[oldest].at) {
 			oldest = name
 		}
 	}
-	delete(p.last, oldest)
+	delete(p.byName, oldest)
 }
 
-// of returns the processes that follow a kind, and forgets those that have not polled for pollerMemory.
-func (p *pollers) of(kind string, now time.Time) []Poller {
+// followersOf returns the processes that follow a kind, and removes records older than pollerRetention.
+func (p *pollers) followersOf(kind string, now time.Time) []Poller {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var found []Poller
-	for name, last := range p.last {
-		age := now.Sub(last.at)
-		if age > pollerMemory {
-			delete(p.last, name)
+	var followers []Poller
+	for name, record := range p.byName {
+		age := now.Sub(record.at)
+		if age > pollerRetention {
+			delete(p.byName, name)
 			continue
 		}
-		if revision, follows := last.known[kind]; follows {
-			found = append(found, Poller{Name: name, Zone: last.zone, Known: revision, Age: age, Relay: last.relay})
+		if revision, follows := record.known[kind]; follows {
+			followers = append(followers, Poller{Name: name, Zone: record.zone, Known: revision, Age: age, Relay: record.relay})
 		}
 	}
-	slices.SortFunc(found, func(a, b Poller) int { return cmp.Compare(a.Name, b.Name) })
-	return found
+	slices.SortFunc(followers, func(a, b Poller) int { return cmp.Compare(a.Name, b.Name) })
+	return followers
 }
 
-// RelayStatus is a process that answers others for the coordinating process.
+// RelayStatus describes a process that answers polls on behalf of the coordinator.
 type RelayStatus struct {
 	Name string
-	// Processes is how many it has answered lately, and Holding how many of those held the newest content of a kind when they last polled.
+	// Processes is the number of active processes that it answers, and Holding how many of those had the newest content
+	// of a kind at their last poll.
 	Processes, Holding int
-	// Age is how long ago the relay last polled.
+	// Age is the time since the relay's own last poll.
 	Age time.Duration
 }
 
-// relays returns the processes that answer others, with how many of those hold a kind up to a revision, sorted by name.
-func (p *pollers) relays(kind string, revision metastore.Revision, now time.Time) []RelayStatus {
+// relayStatuses returns the status of each relay with respect to a revision of a kind, sorted by name.
+func (p *pollers) relayStatuses(kind string, revision metastore.Revision, now time.Time) []RelayStatus {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	found := make(map[string]RelayStatus)
-	for _, last := range p.last {
-		if last.relay == "" || !last.counts(now) {
+	statuses := make(map[string]RelayStatus)
+	for _, record := range p.byName {
+		if record.relay == "" || !record.active(now) {
 			continue
 		}
-		status := found[last.relay]
-		status.Name, status.Age = last.relay, now.Sub(p.last[last.relay].at)
+		status := statuses[record.relay]
+		status.Name, status.Age = record.relay, now.Sub(p.byName[record.relay].at)
 		status.Processes++
-		if last.known[kind] >= revision {
+		if record.known[kind] >= revision {
 			status.Holding++
 		}
-		found[last.relay] = status
+		statuses[record.relay] = status
 	}
-	return slices.SortedFunc(maps.Values(found), func(a, b RelayStatus) int { return cmp.Compare(a.Name, b.Name) })
+	return slices.SortedFunc(maps.Values(statuses), func(a, b RelayStatus) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// Relays returns the processes that answer others for this one, and how many of those hold the newest content of a kind.
+// Relays returns the status of each relay with respect to the newest content of a kind.
 func (h *Hub) Relays(kind string) []RelayStatus {
-	return h.pollers.relays(kind, h.contentRevision(kind), boottime.Now())
+	return h.pollers.relayStatuses(kind, h.contentRevision(kind), boottime.Now())
 }
 
-// NotePoll records which process has polled, and which revisions it held.
+// NotePoll records a poll and the revisions that the process had.
 func (h *Hub) NotePoll(peer rpc.Peer, request PollRequest) {
-	h.pollers.note(peer, request.Known, boottime.Now())
+	h.pollers.record(peer, request.Known, boottime.Now())
 }
 
-// Processes returns how many processes this hub and its relays have answered lately, or how many have asked it, if those are more, as at a start. It
-// looks at each of them.
+// Processes returns the number of active processes that this hub and its relays answer, or of those that polled this hub
+// if that is larger, as during startup. It takes time linear in that number.
 func (h *Hub) Processes() int {
 	now := boottime.Now()
-	return max(h.pollers.count(now), h.direct.count(now)+h.sentAway.count(now))
+	return max(h.pollers.countActive(now), h.direct.count(now)+h.redirected.count(now))
 }
 
-// Spread shows which processes hold the newest content of a kind. What a process receives with a poll counts from its next poll on.
+// Spread reports which processes have the newest content of a kind. Content sent in reply to a poll counts from the
+// process's next poll.
 func (h *Hub) Spread(kind string) Spread {
-	return Spread{Pollers: h.pollers.of(kind, boottime.Now()), Revision: h.contentRevision(kind)}
+	return Spread{Pollers: h.pollers.followersOf(kind, boottime.Now()), Revision: h.contentRevision(kind)}
 }
 
-// contentRevision returns the revision of a kind's newest content; zero if the hub knows nothing of the kind.
+// contentRevision returns the revision of a kind's newest content; zero if the kind is unknown.
 func (h *Hub) contentRevision(kind string) metastore.Revision {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	known, ok := h.kinds[kind]
+	cached, ok := h.kinds[kind]
 	if !ok {
 		return 0
 	}
-	return known.contentRevision
+	return cached.contentRevision
 }
--- a/internal/storerelay/quarantine_test.go
+++ b/internal/storerelay/quarantine_test.go
@@ -15,9 +15,9 @@
 	"github.com/covelink/covelink/internal/storerelay"
 )
 
-// What a hub's table takes in reaches clients with the polls that they make anyway, at once, whether or not the hub serves them otherwise.
-func TestQuarantineIsRelayed(t *testing.T) {
-	for name, leading := range map[string]bool{"a hub that coordinates": true, "a hub that does not": false} {
+// Quarantine updates reach clients immediately, even from a hub that is not the coordinator's.
+func TestQuarantineRelayed(t *testing.T) {
+	for name, leading := range map[string]bool{"coordinator's hub": true, "other hub": false} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
@@ -40,12 +40,12 @@
 				table.NoteEnd(suspect, "engine-0")
 				time.Sleep(500 * time.Millisecond)
 				if standing := learnt.Status(suspect).Standing; standing != quarantine.Suspect {
-					t.Errorf("half a second after: %v", standing)
+					t.Errorf("standing 500 ms after the engine failure: got %v, want suspect", standing)
 				}
 				table.Release(suspect)
 				time.Sleep(500 * time.Millisecond)
 				if standing := learnt.Status(suspect).Standing; standing != quarantine.Clear {
-					t.Errorf("half a second after it was cleared: %v", standing)
+					t.Errorf("standing 500 ms after the release: got %v, want clear", standing)
 				}
 				cancel()
 				running.Wait()
--- a/internal/storerelay/relay.go
+++ b/internal/storerelay/relay.go
@@ -13,77 +13,76 @@
 )
 
 const (
-	// relayIdle is how long a relay goes on following the coordinating process after it was last asked: longer than the pauses between two polls of a
-	// process that asks it.
-	relayIdle = 10 * time.Second
-	// relayCheck is the pause between two looks at whether a relay is still asked.
-	relayCheck = 500 * time.Millisecond
-	// servedInterval is the pause between two polls with which a relay tells whom it answers: the list is for operators and for the count of
-	// processes, and would be most of what relays send if each poll had it.
-	servedInterval = 2 * time.Second
+	// relayIdleTimeout is how long a relay runs after the last request to relay.
+	relayIdleTimeout = 10 * time.Second
+	// relayCheckInterval is how often a relay checks whether it is still needed.
+	relayCheckInterval = 500 * time.Millisecond
+	// servedReportInterval limits how often a relay reports the processes that it answers, which would otherwise
+	// dominate the size of its polls.
+	servedReportInterval = 2 * time.Second
 )
 
-// relaying is the state of a hub that answers for the coordinating process. It is safe for concurrent use.
-type relaying struct {
+// relayState is the state of a hub that may answer on behalf of the coordinator. It is safe for concurrent use.
+type relayState struct {
 	mu sync.Mutex
-	// running is true while a Relay keeps the hub up to date.
-	running bool
-	askedAt time.Time
-	// asked tells the Relay of the first request.
-	asked chan struct{}
-	// candidates and workerShare are those that the coordinating process told last.
+	// running is set while a Relay keeps the hub up to date.
+	running     bool
+	requestedAt time.Time
+	// requested wakes the Relay.
+	requested chan struct{}
+	// candidates and workerShare were last received from the coordinator.
 	candidates  []string
 	workerShare float64
 }
 
-// on reports whether the hub answers for the coordinating process.
-func (r *relaying) on() bool {
+// active reports whether the hub answers active behalf of the coordinator.
+func (r *relayState) active() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.running
 }
 
-// ask notes a request to answer for the coordinating process.
-func (r *relaying) ask(now time.Time) {
+// request records a request to relay, and wakes the Relay.
+func (r *relayState) request(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.askedAt = now
+	r.requestedAt = now
 	select {
-	case r.signal() <- struct{}{}:
+	case r.requestChannel() <- struct{}{}:
 	default:
 	}
 }
 
-// signal returns the channel that tells of requests. The mutex must be held.
-func (r *relaying) signal() chan struct{} {
-	if r.asked == nil {
-		r.asked = make(chan struct{}, 1)
+// requestChannel returns the channel that signals requests. The mutex must be held.
+func (r *relayState) requestChannel() chan struct{} {
+	if r.requested == nil {
+		r.requested = make(chan struct{}, 1)
 	}
-	return r.asked
+	return r.requested
 }
 
-// requests returns the channel that tells of requests.
-func (r *relaying) requests() <-chan struct{} {
+// requests returns the channel that signals requests.
+func (r *relayState) requests() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.signal()
+	return r.requestChannel()
 }
 
-func (r *relaying) set(running bool) {
+func (r *relayState) setRunning(running bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.running = running
 }
 
-// idle reports whether nobody has asked for relayIdle.
-func (r *relaying) idle(now time.Time) bool {
+// idle reports whether the last request is older than relayIdleTimeout.
+func (r *relayState) idle(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return now.Sub(r.askedAt) > relayIdle
+	return now.Sub(r.requestedAt) > relayIdleTimeout
 }
 
-// learn takes in what the coordinating process tells its callers beside the objects.
-func (r *relaying) learn(reply PollReply) {
+// applyReply stores the candidates and the worker share of the coordinator's reply.
+func (r *relayState) applyReply(reply PollReply) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(reply.Candidates) > 0 {
@@ -92,34 +91,34 @@
 	r.workerShare = reply.WorkerShare
 }
 
-func (r *relaying) guidance() (candidates []string, workerShare float64) {
+func (r *relayState) guidance() (candidates []string, workerShare float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.candidates, r.workerShare
 }
 
-// RelayParams are what a Relay works with.
+// RelayParams configures a Relay.
 type RelayParams struct {
 	Hub *Hub
-	// Direct returns what follows the store, for the time when the coordinating process does not answer.
+	// Direct returns followers of the store, used while the coordinator does not answer.
 	Direct func() *metastore.Followers
-	// Client are the parameters of the client that polls the coordinating process; Relay sets Direct, Relay and the functions that hand on.
+	// Client configures the client that polls the coordinator; Relay sets Direct, Relay, Confirmed, Learned and Served.
 	Client ClientParams
-	// Kinds are those that callers ask for.
+	// Kinds are the kinds that callers request.
 	Kinds  []string
 	Logger log.Logger
-	// Now reads boottime.
+	// Now is boottime.Now, except in tests.
 	Now func() time.Time
 }
 
-// Relay keeps the hub of a process that does not coordinate as the coordinating process's hub is, while processes ask for it. It never asks another
-// relay, so that two of them cannot confirm each other.
+// Relay keeps the hub of a process that is not the coordinator in step with the coordinator's hub while processes poll
+// it. It never polls another relay, so that two relays cannot confirm each other's stale data.
 type Relay struct{ RelayParams }
 
-// NewRelay returns a Relay. Run starts it.
+// NewRelay returns a Relay. It relays once Run is called.
 func NewRelay(params RelayParams) *Relay { return &Relay{RelayParams: params} }
 
-// Run relays whenever it is asked to, until ctx ends.
+// Run relays on request until ctx ends.
 func (r *Relay) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		select {
@@ -133,24 +132,24 @@
 	}
 }
 
-// serve relays until nobody asks any more or the process coordinates.
+// serve relays until requests cease, this process becomes the coordinator, or ctx ends.
 func (r *Relay) serve(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	var running sync.WaitGroup
 	client := r.newClient()
-	level.Info(r.Logger).Log("msg", "relaying began")
-	r.Hub.relaying.set(true)
+	level.Info(r.Logger).Log("msg", "store relay started")
+	r.Hub.relaying.setRunning(true)
 	running.Go(func() { client.Run(ctx) })
 	for _, kind := range r.Kinds {
 		running.Go(func() { client.Follow(ctx, kind, metastore.FollowOptions{Changed: func(metastore.Snapshot) {}}) })
 	}
 	for ctx.Err() == nil && !r.Hub.Leading() && !r.Hub.relaying.idle(r.Now()) {
-		pause.For(ctx, relayCheck)
+		pause.For(ctx, relayCheckInterval)
 	}
-	r.Hub.relaying.set(false)
+	r.Hub.relaying.setRunning(false)
 	cancel()
 	running.Wait()
-	level.Info(r.Logger).Log("msg", "relaying ended", "coordinates", r.Hub.Leading())
+	level.Info(r.Logger).Log("msg", "store relay stopped", "coordinates", r.Hub.Leading())
 }
 
 func (r *Relay) newClient() *Client {
@@ -158,7 +157,7 @@
 	params.Direct = r.Direct()
 	params.Relay = true
 	params.Confirmed = r.Hub.confirmAt
-	params.Learned = r.Hub.relaying.learn
-	params.Served = func() []ServedProcess { return r.Hub.pollers.served(r.Now()) }
+	params.Learned = r.Hub.relaying.applyReply
+	params.Served = func() []ServedProcess { return r.Hub.pollers.servedProcesses(r.Now()) }
 	return NewClient(params)
 }
--- a/internal/storerelay/relayed_kind_test.go
+++ b/internal/storerelay/relayed_kind_test.go
@@ -7,8 +7,8 @@
 	"github.com/covelink/covelink/internal/metastore"
 )
 
-// Telling a poller a change went through all objects of the kind: 60 pollers that asked for each change of 10,000 engines cost a tenth of a core.
-func TestTellingAChangeCostsTheChange(t *testing.T) {
+// The cost of an update must depend on the number of changes, not on the number of objects of the kind.
+func TestChangeCostIndependentOfObjectCount(t *testing.T) {
 	const kind, count = "things", 10000
 	hub := NewHub(HubParams{Leading: func() bool { return true }, Lease: "leases"})
 	var objects []metastore.Object
@@ -22,18 +22,18 @@
 	edit.Delete("engine-00008")
 	hub.Confirm(kind, metastore.Snapshot{Revision: count + 2, Objects: edit.Map()})
 	known := hub.kinds[kind]
-	if looked := len(after(known.changes, count)) + len(after(known.removals, count)); looked != 2 {
-		t.Errorf("telling a change and a removal of %d objects looks at %d of them", count, looked)
+	if visited := len(entriesAfter(known.changes, count)) + len(entriesAfter(known.removals, count)); visited != 2 {
+		t.Errorf("a change and a removal among %d objects visit %d history entries, want 2", count, visited)
 	}
 	reply := hub.Poll(t.Context(), PollRequest{Known: map[string]metastore.Revision{kind: count}})
 	change := reply.Changes[0]
 	if len(change.Objects) != 1 || len(change.Removed) != 1 || change.Whole {
-		t.Errorf("told %d objects and %d removals, whole %v", len(change.Objects), len(change.Removed), change.Whole)
+		t.Errorf("got %d objects and %d removals, whole %v; want 1, 1, false", len(change.Objects), len(change.Removed), change.Whole)
 	}
 }
 
-// A poller that missed more than is remembered is told the whole list, and no change is left out for one that missed less.
-func TestForgottenChangesAreToldWhole(t *testing.T) {
+// A poller that needs more than the history receives the full list; one within the history receives every change.
+func TestFullListBeyondHistory(t *testing.T) {
 	const kind = "things"
 	hub := NewHub(HubParams{Leading: func() bool { return true }, Lease: "leases"})
 	snapshot := metastore.SnapshotOf(1, metastore.Object{Name: "first", Revision: 1})
@@ -49,17 +49,17 @@
 		snapshot = metastore.Snapshot{Revision: revision, Objects: edit.Map()}
 		hub.Confirm(kind, snapshot)
 	}
-	told := func(known metastore.Revision) (objects int, whole bool) {
+	fetch := func(known metastore.Revision) (objects int, whole bool) {
 		change, err := hub.Poll(t.Context(), PollRequest{Known: map[string]metastore.Revision{kind: known}}).Changes[0].unpacked()
 		if err != nil {
 			t.Fatal(err)
 		}
 		return len(change.Objects), change.Whole
 	}
-	if _, whole := told(1); !whole {
-		t.Error("a poller that missed more than is remembered is told a part")
+	if _, whole := fetch(1); !whole {
+		t.Error("a poller that needs more than the history did not receive the full list")
 	}
-	if objects, whole := told(revision - 100); whole || objects != 100 {
-		t.Errorf("a poller that missed 100 changes is told %d objects, whole %v", objects, whole)
+	if objects, whole := fetch(revision - 100); whole || objects != 100 {
+		t.Errorf("a poller that missed 100 changes received %d objects, whole %v", objects, whole)
 	}
 }
--- a/internal/storerelay/start_test.go
+++ b/internal/storerelay/start_test.go
@@ -13,10 +13,9 @@
 	"github.com/covelink/covelink/internal/storerelay"
 )
 
-// In a trial of 250 gateways of which 138 were started at once, the hub's answers held 130 MB of whole lists, so that clients had to
-// list from the store at their start: some 1,000 calls. Now a whole list is encoded once and compressed.
-func TestClientsThatStart(t *testing.T) {
-	play(t, "Clients that start learn all from the hub, in a form that all of them share, and ask the store nothing", 1, func(w *world) {
+// Guards against a start of many clients exhausting the hub's memory or the store's request rate with full lists.
+func TestClientStartup(t *testing.T) {
+	runScenario(t, "Starting clients receive one shared encoding of the full list from the hub, without calls to the store", 1, func(w *relayHarness) {
 		spec := strconv.Quote(strings.Repeat("zone", 250))
 		for i := range 20 {
 			w.write(fmt.Sprintf("object-%d", i), spec)
@@ -27,7 +26,7 @@
 			w.startClient()
 		}
 		time.Sleep(5 * time.Second)
-		// The hub's own watches, some two a second.
+		// Allows for the hub's own watches.
 		So(w.store.Calls()-calls, ShouldBeLessThanOrEqualTo, 14)
 		So(w.relayed.Load()-before, ShouldBeLessThan, 10*2000)
 		for _, client := range w.clients {
@@ -38,7 +37,7 @@
 		first, second := w.hub.Poll(w.ctx, request), w.hub.Poll(w.ctx, request)
 		So(&first.Changes[0].Packed[0], ShouldEqual, &second.Changes[0].Packed[0])
 	})
-	play(t, "Clients that start while no hub answers turn to the store, spread over time", 1, func(w *world) {
+	runScenario(t, "Clients that start while no hub answers read from the store, with jitter", 1, func(w *relayHarness) {
 		w.write("a", `"1"`)
 		w.leading.Store(false)
 		time.Sleep(10 * time.Second)
@@ -54,17 +53,17 @@
 			So(client.specs(), ShouldResemble, map[string]string{"a": `"1"`})
 		}
 	})
-	play(t, "A store that is down is asked one question each while no hub answers", 20, func(w *world) {
+	runScenario(t, "While no hub answers, each client sends a store that is down only its lease request", 20, func(w *relayHarness) {
 		w.write("a", `"1"`)
 		time.Sleep(5 * time.Second)
-		w.cut.Store(true)
-		w.refused.Store(true)
+		w.unreachable.Store(true)
+		w.storeRefuses.Store(true)
 		before := w.store.Calls()
 		time.Sleep(6 * time.Second)
-		// Each client asks for the lease every 2.5 s, after its patience; the hub itself is not refused, and asks some two times a second.
+		// Allows one lease request every 2.5 s per client, and the hub's own watches, which are not refused.
 		So(w.store.Calls()-before, ShouldBeLessThan, 20*3+20)
 		w.write("a", `"2"`)
-		w.refused.Store(false)
+		w.storeRefuses.Store(false)
 		time.Sleep(2800 * time.Millisecond)
 		for _, client := range w.clients {
 			So(client.specs(), ShouldResemble, map[string]string{"a": `"2"`})
--- a/internal/storerelay/storerelay_test.go
+++ b/internal/storerelay/storerelay_test.go
@@ -27,53 +27,52 @@
 	watchWait = 2500 * time.Millisecond
 )
 
-// errCut reports a hub that cannot be reached.
-var errCut = errors.New("cut off")
+// errUnreachable is the error of a poll of an unreachable hub.
+var errUnreachable = errors.New("hub unreachable")
 
-// world is a store, a coordinating process with its hub, and several clients.
-type world struct {
+// relayHarness is a store, a coordinator with its hub, and several clients.
+type relayHarness struct {
 	store *metastoretest.Store
-	// hubStore is the hub's access to the store, and deaf makes it stay without answer.
-	hubStore *metastoretest.Client
-	deaf     atomic.Bool
-	leading  atomic.Bool
-	// cut refuses polls, and silent leaves them without answer.
-	cut, silent atomic.Bool
-	// refused makes the store turn the clients away.
-	refused atomic.Bool
-	hub     *storerelay.Hub
-	clients []*observed
-	relays  []*storerelay.Client
-	// relayed counts the objects that the hub has told.
+	// hubStore is the hub's connection to the store, which does not answer while storeSilent is set.
+	hubStore    *metastoretest.Client
+	storeSilent atomic.Bool
+	leading     atomic.Bool
+	// unreachable makes polls fail, and unresponsive leaves them unanswered.
+	unreachable, unresponsive atomic.Bool
+	// storeRefuses makes the store refuse the clients' calls.
+	storeRefuses atomic.Bool
+	hub          *storerelay.Hub
+	clients      []*snapshotRecorder
+	relayClients []*storerelay.Client
+	// relayed counts the objects and packed bytes that the hub has sent.
 	relayed atomic.Int64
 	ctx     context.Context
 	running sync.WaitGroup
 }
 
-// observed is a client and what it has handed out.
-type observed struct {
+// snapshotRecorder records the snapshots of a client.
+type snapshotRecorder struct {
 	mu       sync.Mutex
 	snapshot metastore.Snapshot
-	// wentBack is true once an older revision was handed out.
-	wentBack bool
+	// regressed is set once a snapshot was older than the one before.
+	regressed bool
 }
 
-func (o *observed) take(snapshot metastore.Snapshot) {
+func (o *snapshotRecorder) record(snapshot metastore.Snapshot) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.wentBack = o.wentBack || snapshot.Revision < o.snapshot.Revision
+	o.regressed = o.regressed || snapshot.Revision < o.snapshot.Revision
 	o.snapshot = snapshot
 }
 
-// hasGoneBack reports whether an older revision was handed out.
-func (o *observed) hasGoneBack() bool {
+func (o *snapshotRecorder) hasRegressed() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.wentBack
+	return o.regressed
 }
 
-// specs returns what the client holds.
-func (o *observed) specs() map[string]string {
+// specs returns the specs of the current snapshot by object name.
+func (o *snapshotRecorder) specs() map[string]string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	specs := make(map[string]string)
@@ -83,16 +82,16 @@
 	return specs
 }
 
-func newWorld(ctx context.Context, clients int) *world {
-	w := &world{store: metastoretest.New(), ctx: ctx}
+func newRelayHarness(ctx context.Context, clients int) *relayHarness {
+	w := &relayHarness{store: metastoretest.New(), ctx: ctx}
 	w.hubStore = w.store.Client()
 	w.hubStore.Fault = func(string, string, bool) metastoretest.Fault {
-		if w.deaf.Load() {
+		if w.storeSilent.Load() {
 			return metastoretest.Silent
 		}
 		return metastoretest.None
 	}
-	// A fleet always has a lease; without one its kind stays unknown, and clients wait for it as at a start.
+	// Without a lease object, its kind would stay unknown and clients would wait as at startup.
 	if _, err := w.store.Client().Create(ctx, leaseKind, metastore.Object{Name: "lease", Spec: []byte(`"coordinator"`)}); err != nil {
 		panic(err)
 	}
@@ -111,12 +110,12 @@
 	return w
 }
 
-func (w *world) startClient() {
-	found := &observed{}
-	w.clients = append(w.clients, found)
+func (w *relayHarness) startClient() {
+	recorder := &snapshotRecorder{}
+	w.clients = append(w.clients, recorder)
 	direct := w.store.Client()
 	direct.Fault = func(string, string, bool) metastoretest.Fault {
-		if w.refused.Load() {
+		if w.storeRefuses.Load() {
 			return metastoretest.Refused
 		}
 		return metastoretest.None
@@ -129,27 +128,27 @@
 		Lease:       leaseKind,
 		Logger:      log.NewNopLogger(),
 	})
-	w.relays = append(w.relays, client)
+	w.relayClients = append(w.relayClients, client)
 	w.running.Go(func() { client.Run(w.ctx) })
 	w.running.Go(func() {
-		client.Follow(w.ctx, kind, metastore.FollowOptions{Wait: watchWait, Changed: found.take})
+		client.Follow(w.ctx, kind, metastore.FollowOptions{Wait: watchWait, Changed: recorder.record})
 	})
 	w.running.Go(func() {
 		client.Follow(w.ctx, leaseKind, metastore.FollowOptions{Changed: func(metastore.Snapshot) {}})
 	})
 }
 
-// standby is the address of a candidate that does not coordinate, and knows nothing.
+// standby is the address of a candidate that is not the coordinator and has no data.
 const standby = "standby"
 
-func (w *world) poll(ctx context.Context, address string, request storerelay.PollRequest) (storerelay.PollReply, error) {
+func (w *relayHarness) poll(ctx context.Context, address string, request storerelay.PollRequest) (storerelay.PollReply, error) {
 	if address == standby {
 		return storerelay.PollReply{}, nil
 	}
-	if w.cut.Load() {
-		return storerelay.PollReply{}, errCut
+	if w.unreachable.Load() {
+		return storerelay.PollReply{}, errUnreachable
 	}
-	if w.silent.Load() {
+	if w.unresponsive.Load() {
 		<-ctx.Done()
 		return storerelay.PollReply{}, ctx.Err()
 	}
@@ -160,8 +159,8 @@
 	return reply, nil
 }
 
-// write sets an object, or removes it if the spec is empty.
-func (w *world) write(name, spec string) {
+// write sets an object, or deletes it if the spec is empty.
+func (w *relayHarness) write(name, spec string) {
 	client := w.store.Client()
 	if spec == "" {
 		_ = client.Delete(w.ctx, kind, name, 0)
@@ -176,28 +175,28 @@
 	}
 }
 
-// play runs a scene in virtual time.
-func play(t *testing.T, name string, clients int, scene func(w *world)) {
+// runScenario runs a scenario in virtual time.
+func runScenario(t *testing.T, name string, clients int, scenario func(w *relayHarness)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		w := newWorld(ctx, clients)
+		w := newRelayHarness(ctx, clients)
 		defer func() {
 			cancel()
 			w.running.Wait()
 		}()
 		time.Sleep(time.Second)
 		Convey(name, t, func() {
-			scene(w)
+			scenario(w)
 			for _, client := range w.clients {
-				So(client.wentBack, ShouldBeFalse)
+				So(client.regressed, ShouldBeFalse)
 			}
 		})
 	})
 }
 
 func TestRelay(t *testing.T) {
-	play(t, "Clients learn changes through the hub within its wait, and the store is called by the hub alone", 50, func(w *world) {
+	runScenario(t, "Clients receive changes from the hub without delay, and only the hub calls the store", 50, func(w *relayHarness) {
 		w.write("a", `"1"`)
 		w.write("b", `"1"`)
 		time.Sleep(5 * time.Second)
@@ -209,18 +208,18 @@
 			So(client.specs(), ShouldResemble, map[string]string{"a": `"2"`})
 		}
 		time.Sleep(time.Minute)
-		// Two kinds: the lease is watched once a second, the other each 0.75 s.
+		// Watches of two kinds: the lease once per second, the other every 0.75 s.
 		So(w.store.Calls()-before, ShouldBeLessThan, 150)
 	})
 	for _, fault := range []struct {
 		name  string
-		begin func(w *world)
+		begin func(w *relayHarness)
 	}{
-		{"is cut off", func(w *world) { w.cut.Store(true) }},
-		{"is silent", func(w *world) { w.silent.Store(true) }},
-		{"does not coordinate any more", func(w *world) { w.leading.Store(false) }},
+		{"is unreachable", func(w *relayHarness) { w.unreachable.Store(true) }},
+		{"is unresponsive", func(w *relayHarness) { w.unresponsive.Store(true) }},
+		{"is no longer the coordinator's", func(w *relayHarness) { w.leading.Store(false) }},
 	} {
-		play(t, "A client follows the store itself within 3.5 s once the hub "+fault.name, 3, func(w *world) {
+		runScenario(t, "A client reads a change from the store within 3.5 s when the hub "+fault.name, 3, func(w *relayHarness) {
 			w.write("a", `"1"`)
 			time.Sleep(5 * time.Second)
 			fault.begin(w)
@@ -229,29 +228,28 @@
 			for _, client := range w.clients {
 				So(client.specs(), ShouldResemble, map[string]string{"a": `"2"`})
 			}
-			w.cut.Store(false)
-			w.silent.Store(false)
+			w.unreachable.Store(false)
+			w.unresponsive.Store(false)
 			w.leading.Store(true)
 			time.Sleep(3 * time.Second)
 			before := w.store.Calls()
 			time.Sleep(10 * time.Second)
-			Convey("and through it again once it answers", func() {
+			Convey("and stops calling the store once the hub answers again", func() {
 				So(w.store.Calls()-before, ShouldBeLessThan, 30)
 			})
 		})
 	}
-	// A coordinator was cut off, and 0.4 s later a configuration was acknowledged: it was in force 2.2 s after that, where 2 s are allowed
-	// (CONFIG on trouble-1 of Cairnpath, seed 656951132454).
+	// A change that coincides with the loss of the hub must be known within 2 s.
 	for _, fault := range []struct {
 		name  string
-		begin func(w *world)
+		begin func(w *relayHarness)
 	}{
-		{"is silent", func(w *world) { w.silent.Store(true) }},
-		{"hears nothing from the store", func(w *world) { w.deaf.Store(true) }},
-		{"is silent and hears nothing from the store", func(w *world) { w.silent.Store(true); w.deaf.Store(true) }},
+		{"is unresponsive", func(w *relayHarness) { w.unresponsive.Store(true) }},
+		{"gets no answer from the store", func(w *relayHarness) { w.storeSilent.Store(true) }},
+		{"is unresponsive and gets no answer from the store", func(w *relayHarness) { w.unresponsive.Store(true); w.storeSilent.Store(true) }},
 	} {
 		for offset := range 6 {
-			play(t, "A client knows within 2 s what changes just after the hub "+fault.name, 8, func(w *world) {
+			runScenario(t, "A client has a change within 2 s when, just before it, the hub "+fault.name, 8, func(w *relayHarness) {
 				w.write("a", `"1"`)
 				time.Sleep(5*time.Second + time.Duration(offset)*170*time.Millisecond)
 				fault.begin(w)
@@ -263,25 +261,25 @@
 			})
 		}
 	}
-	play(t, "A client knows up to when a kind is confirmed, through a hub, from the store, and while neither answers", 1, func(w *world) {
-		age := func() time.Duration { return boottime.Since(w.relays[0].ConfirmedAt(kind)) }
+	runScenario(t, "ConfirmedAt follows the hub or the store, and stops while neither answers", 1, func(w *relayHarness) {
+		age := func() time.Duration { return boottime.Since(w.relayClients[0].ConfirmedAt(kind)) }
 		time.Sleep(3 * time.Second)
 		So(age(), ShouldBeLessThan, 3500*time.Millisecond)
-		w.cut.Store(true)
+		w.unreachable.Store(true)
 		time.Sleep(8 * time.Second)
 		So(age(), ShouldBeLessThan, 3500*time.Millisecond)
-		w.refused.Store(true)
+		w.storeRefuses.Store(true)
 		time.Sleep(8 * time.Second)
 		So(age(), ShouldBeGreaterThan, 4*time.Second)
-		w.refused.Store(false)
-		w.cut.Store(false)
+		w.storeRefuses.Store(false)
+		w.unreachable.Store(false)
 		time.Sleep(4 * time.Second)
 		So(age(), ShouldBeLessThan, 3500*time.Millisecond)
 	})
-	play(t, "A hub that hears nothing from the store says so, and changes are learnt without it", 3, func(w *world) {
+	runScenario(t, "A hub that gets no answer from the store reports stale data, and clients read changes from the store", 3, func(w *relayHarness) {
 		w.write("a", `"1"`)
 		time.Sleep(5 * time.Second)
-		w.deaf.Store(true)
+		w.storeSilent.Store(true)
 		time.Sleep(2500 * time.Millisecond)
 		w.write("a", `"2"`)
 		time.Sleep(1200 * time.Millisecond)
@@ -289,10 +287,10 @@
 			So(client.specs(), ShouldResemble, map[string]string{"a": `"2"`})
 		}
 	})
-	play(t, "A client that returns to the store after its history was dropped lists again", 2, func(w *world) {
+	runScenario(t, "A client that follows the store after its history was compacted lists again", 2, func(w *relayHarness) {
 		w.write("a", `"1"`)
 		time.Sleep(5 * time.Second)
-		w.silent.Store(true)
+		w.unresponsive.Store(true)
 		w.write("a", `"2"`)
 		w.write("b", `"2"`)
 		w.store.Compact()
@@ -303,23 +301,23 @@
 	})
 }
 
-// Changes, removals and faults in a random order leave every client with what the store holds.
+// After random changes, removals and faults, every client must have the content of the store.
 func TestRelayRandom(t *testing.T) {
 	for seed := range uint64(40) {
-		play(t, "Random changes and faults with seed "+strconv.FormatUint(seed, 10), 4, func(w *world) {
+		runScenario(t, "Random changes and faults with seed "+strconv.FormatUint(seed, 10), 4, func(w *relayHarness) {
 			random := rand.New(rand.NewPCG(seed, 1))
 			want := make(map[string]string)
 			for step := range 150 {
 				name := fmt.Sprintf("thing-%d", random.IntN(12))
 				switch random.IntN(12) {
 				case 0:
-					w.cut.Store(random.IntN(2) == 0)
+					w.unreachable.Store(random.IntN(2) == 0)
 				case 1:
-					w.silent.Store(random.IntN(2) == 0)
+					w.unresponsive.Store(random.IntN(2) == 0)
 				case 2:
 					w.leading.Store(random.IntN(3) > 0)
 				case 3:
-					w.deaf.Store(random.IntN(2) == 0)
+					w.storeSilent.Store(random.IntN(2) == 0)
 				case 4:
 					w.store.Compact()
 				case 5, 6, 7:
@@ -332,10 +330,10 @@
 				}
 				time.Sleep(time.Duration(random.IntN(400)) * time.Millisecond)
 			}
-			w.cut.Store(false)
-			w.silent.Store(false)
+			w.unreachable.Store(false)
+			w.unresponsive.Store(false)
 			w.leading.Store(true)
-			w.deaf.Store(false)
+			w.storeSilent.Store(false)
 			time.Sleep(10 * time.Second)
 			for _, client := range w.clients {
 				So(client.specs(), ShouldResemble, want)
@@ -344,8 +342,8 @@
 	}
 }
 
-func TestEssence(t *testing.T) {
-	Convey("A change that pollers need not know is not told to them, a later one that they need is, with all of the object", t, func() {
+func TestContentForPollers(t *testing.T) {
+	Convey("A change outside the content for pollers is not sent; a later one inside it is, with the whole object", t, func() {
 		essence := func(_ string, object metastore.Object) string { return string(object.Spec[:1]) }
 		hub := storerelay.NewHub(storerelay.HubParams{Leading: func() bool { return true }, Essence: essence})
 		confirm := func(revision metastore.Revision, objects ...metastore.Object) {
@@ -362,9 +360,9 @@
 		So(poll(0).Changes[0].Whole, ShouldBeTrue)
 		So(poll(2).Changes[0].Whole, ShouldBeTrue)
 		confirm(4, object("a", "x2", 4), object("b", "x1", 3))
-		quiet := poll(3)
-		So(quiet.Changes, ShouldBeEmpty)
-		So(quiet.Revisions[kind], ShouldEqual, metastore.Revision(4))
+		unchanged := poll(3)
+		So(unchanged.Changes, ShouldBeEmpty)
+		So(unchanged.Revisions[kind], ShouldEqual, metastore.Revision(4))
 		confirm(5, object("a", "y2", 5), object("b", "x1", 3))
 		So(poll(4).Changes[0].Objects, ShouldResemble, []metastore.Object{object("a", "y2", 5)})
 		confirm(6, object("a", "y2", 5))
--- a/internal/storerelay/subscription.go
+++ b/internal/storerelay/subscription.go
@@ -7,56 +7,56 @@
 	"github.com/covelink/covelink/internal/sharedmap"
 )
 
-// subscription is a kind that is followed.
+// subscription is a followed kind.
 type subscription struct {
-	changed func(metastore.Snapshot)
-	// listed is closed once the kind is known.
-	listed chan struct{}
+	onChange func(metastore.Snapshot)
+	// ready is closed once the first snapshot is known.
+	ready chan struct{}
 
 	mu       sync.Mutex
 	snapshot metastore.Snapshot
 }
 
 func newSubscription(changed func(metastore.Snapshot)) *subscription {
-	return &subscription{changed: changed, listed: make(chan struct{})}
+	return &subscription{onChange: changed, ready: make(chan struct{})}
 }
 
-// take hands on a snapshot, unless it is older than the last one.
-func (s *subscription) take(snapshot metastore.Snapshot) {
+// update publishes a snapshot, unless it is older than the current one.
+func (s *subscription) update(snapshot metastore.Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if snapshot.Revision < s.snapshot.Revision {
 		return
 	}
 	if !s.known() {
-		close(s.listed)
+		close(s.ready)
 	}
 	s.snapshot = snapshot
-	s.changed(snapshot)
+	s.onChange(snapshot)
 }
 
-// known reports whether the kind is known.
+// known reports whether there is a snapshot.
 func (s *subscription) known() bool {
 	select {
-	case <-s.listed:
+	case <-s.ready:
 		return true
 	default:
 		return false
 	}
 }
 
-// apply takes in a change that a hub told.
+// apply applies a change received from a hub.
 func (s *subscription) apply(change Change) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if change.Revision < s.snapshot.Revision || !change.Whole && !s.known() {
 		return
 	}
-	known := s.snapshot.Objects
+	objects := s.snapshot.Objects
 	if change.Whole {
-		known = sharedmap.Map[metastore.Object]{}
+		objects = sharedmap.Map[metastore.Object]{}
 	}
-	edit := known.Edit()
+	edit := objects.Edit()
 	for _, object := range change.Objects {
 		edit.Set(object.Name, object)
 	}
@@ -64,14 +64,15 @@
 		edit.Delete(name)
 	}
 	if !s.known() {
-		close(s.listed)
+		close(s.ready)
 	}
 	s.snapshot = metastore.Snapshot{Objects: edit.Map(), Revision: change.Revision}
-	s.changed(s.snapshot)
+	s.onChange(s.snapshot)
 }
 
-// advance notes that nothing has changed up to a revision, so that the store need not keep the history since an older one.
-func (s *subscription) advance(revision metastore.Revision) {
+// advanceRevision raises the revision of an unchanged snapshot, so that a later watch does not need history that the
+// store has compacted.
+func (s *subscription) advanceRevision(revision metastore.Revision) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.known() {
--- a/internal/storerelay/takeover_test.go
+++ b/internal/storerelay/takeover_test.go
@@ -17,28 +17,28 @@
 	"github.com/covelink/covelink/internal/storerelay"
 )
 
-// site is a store, three candidates of which one coordinates, and clients that know two seeds.
-type site struct {
+// takeoverHarness is a store, three candidates of which one is the coordinator, and clients with two seeds each.
+type takeoverHarness struct {
 	store *metastoretest.Store
-	// hubs are the candidates' by address, and dead those that leave polls without answer.
-	hubs map[string]*storerelay.Hub
-	dead sync.Map
-	// leader is the address of the candidate that coordinates.
+	// hubs holds the candidates' hubs by address, and unresponsive the addresses that leave polls unanswered.
+	hubs         map[string]*storerelay.Hub
+	unresponsive sync.Map
+	// leader is the coordinator's address.
 	leader  atomic.Value
-	clients []*siteClient
+	clients []*takeoverClient
 	ctx     context.Context
 	running sync.WaitGroup
 }
 
-type siteClient struct {
-	observed
+type takeoverClient struct {
+	snapshotRecorder
 	holder atomic.Value
 }
 
-func (s *site) leads(address string) bool { return s.leader.Load() == address }
+func (s *takeoverHarness) isLeader(address string) bool { return s.leader.Load() == address }
 
-// appoint makes a candidate coordinate.
-func (s *site) appoint(address string) {
+// elect makes a candidate the coordinator.
+func (s *takeoverHarness) elect(address string) {
 	s.leader.Store(address)
 	spec, _ := json.Marshal(address)
 	object := metastore.Object{Name: "lease", Spec: spec}
@@ -51,9 +51,9 @@
 	}
 }
 
-func (s *site) startHub(address string, candidates []string) {
+func (s *takeoverHarness) startHub(address string, candidates []string) {
 	hub := storerelay.NewHub(storerelay.HubParams{
-		Leading:    func() bool { return s.leads(address) },
+		Leading:    func() bool { return s.isLeader(address) },
 		Lease:      leaseKind,
 		Candidates: func() []string { return candidates },
 	})
@@ -67,45 +67,45 @@
 	}
 }
 
-func (s *site) poll(ctx context.Context, address string, request storerelay.PollRequest) (storerelay.PollReply, error) {
+func (s *takeoverHarness) poll(ctx context.Context, address string, request storerelay.PollRequest) (storerelay.PollReply, error) {
 	hub, ok := s.hubs[address]
 	if !ok {
-		return storerelay.PollReply{}, errCut
+		return storerelay.PollReply{}, errUnreachable
 	}
-	if _, dead := s.dead.Load(address); dead {
+	if _, dead := s.unresponsive.Load(address); dead {
 		<-ctx.Done()
 		return storerelay.PollReply{}, ctx.Err()
 	}
 	return hub.Poll(ctx, request), nil
 }
 
-func (s *site) startClient(seeds ...string) *siteClient {
-	found := &siteClient{}
-	found.holder.Store("")
-	s.clients = append(s.clients, found)
+func (s *takeoverHarness) startClient(seeds ...string) *takeoverClient {
+	started := &takeoverClient{}
+	started.holder.Store("")
+	s.clients = append(s.clients, started)
 	client := storerelay.NewClient(storerelay.ClientParams{
 		Direct:      metastore.NewFollowers(s.store.Client()),
 		Poll:        s.poll,
-		Coordinator: func() string { return found.holder.Load().(string) },
+		Coordinator: func() string { return started.holder.Load().(string) },
 		Seeds:       seeds,
 		Lease:       leaseKind,
 		Patience:    3 * time.Second,
 		Logger:      log.NewNopLogger(),
 	})
 	s.running.Go(func() { client.Run(s.ctx) })
-	s.running.Go(func() { client.Follow(s.ctx, kind, metastore.FollowOptions{Changed: found.take}) })
+	s.running.Go(func() { client.Follow(s.ctx, kind, metastore.FollowOptions{Changed: started.record}) })
 	s.running.Go(func() {
 		client.Follow(s.ctx, leaseKind, metastore.FollowOptions{Changed: func(snapshot metastore.Snapshot) {
 			var holder string
 			if object, ok := snapshot.Objects.Get("lease"); ok && json.Unmarshal(object.Spec, &holder) == nil {
-				found.holder.Store(holder)
+				started.holder.Store(holder)
 			}
 		}})
 	})
-	return found
+	return started
 }
 
-func (s *site) write(spec string) {
+func (s *takeoverHarness) write(spec string) {
 	object := metastore.Object{Name: "a", Spec: []byte(spec)}
 	client := s.store.Client()
 	if _, err := client.Replace(s.ctx, kind, object); err != nil {
@@ -113,11 +113,11 @@
 	}
 }
 
-func playSite(t *testing.T, name string, scene func(s *site)) {
+func runTakeoverScenario(t *testing.T, name string, scenario func(s *takeoverHarness)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		s := &site{store: metastoretest.New(), hubs: make(map[string]*storerelay.Hub), ctx: ctx}
+		s := &takeoverHarness{store: metastoretest.New(), hubs: make(map[string]*storerelay.Hub), ctx: ctx}
 		defer func() {
 			cancel()
 			s.running.Wait()
@@ -128,43 +128,42 @@
 		s.startHub("three", nil)
 		time.Sleep(100 * time.Millisecond)
 		Convey(name, t, func() {
-			scene(s)
+			scenario(s)
 			for _, client := range s.clients {
-				So(client.wentBack, ShouldBeFalse)
+				So(client.regressed, ShouldBeFalse)
 			}
 		})
 	})
 }
 
-// Each change of the coordinator cost some 1,000 calls of 250 gateways, which listed the lease, the routes and the engines from the
-// store at the moment in which the next coordinator read the jobs there.
+// Guards against a takeover at which every gateway lists its kinds from the store.
 func TestTakeover(t *testing.T) {
-	playSite(t, "Clients find a coordinator that is chosen after their start, by seeds of which some are of no use", func(s *site) {
+	runTakeoverScenario(t, "Clients find a coordinator elected after their start, with one seed unreachable", func(s *takeoverHarness) {
 		s.write(`"1"`)
 		for range 20 {
 			s.startClient("two", "gone")
 		}
 		time.Sleep(300 * time.Millisecond)
 		calls := s.store.Calls()
-		s.appoint("one")
+		s.elect("one")
 		time.Sleep(1500 * time.Millisecond)
 		for _, client := range s.clients {
 			So(client.specs(), ShouldResemble, map[string]string{"a": `"1"`})
 		}
-		// The write of the lease and what the three candidates watch.
+		// Allows for the lease write and the watches of three candidates.
 		So(s.store.Calls()-calls, ShouldBeLessThan, 20)
 	})
-	playSite(t, "Clients learn from the other candidates who follows a coordinator that is lost, and ask the store nothing", func(s *site) {
-		s.appoint("one")
+	runTakeoverScenario(t, "Clients find the next coordinator through the other candidates, without calls to the store", func(s *takeoverHarness) {
+		s.elect("one")
 		s.write(`"1"`)
 		for range 20 {
 			s.startClient("one", "two")
 		}
 		time.Sleep(5 * time.Second)
-		s.dead.Store("one", true)
+		s.unresponsive.Store("one", true)
 		time.Sleep(2500 * time.Millisecond)
 		calls := s.store.Calls()
-		s.appoint("three")
+		s.elect("three")
 		s.write(`"2"`)
 		time.Sleep(1500 * time.Millisecond)
 		for _, client := range s.clients {
@@ -172,8 +171,8 @@
 		}
 		So(s.store.Calls()-calls, ShouldBeLessThan, 30)
 	})
-	playSite(t, "Clients whose seeds are all out of date turn to the store for the lease, and to the coordinator for the rest", func(s *site) {
-		s.appoint("one")
+	runTakeoverScenario(t, "Clients with only outdated seeds read the lease from the store, and all else from the coordinator", func(s *takeoverHarness) {
+		s.elect("one")
 		s.write(`"1"`)
 		time.Sleep(5 * time.Second)
 		calls := s.store.Calls()
@@ -184,13 +183,13 @@
 		for _, client := range s.clients {
 			So(client.specs(), ShouldResemble, map[string]string{"a": `"1"`})
 		}
-		// A list and perhaps a watch each, and the hub's own watches.
+		// Allows a list and a watch per client, and the hub's own watches.
 		So(s.store.Calls()-calls, ShouldBeLessThan, 20*3+20)
 	})
 }
 
 func TestPatienceWithin(t *testing.T) {
-	Convey("A client's patience leaves time to notice the loss and to catch up, and has a least length", t, func() {
+	Convey("The timeout leaves time to detect the loss and to catch up, and has a minimum", t, func() {
 		So(storerelay.PatienceWithin(2*time.Second), ShouldEqual, storerelay.DefaultPatience)
 		So(storerelay.PatienceWithin(4*time.Second), ShouldEqual, 2450*time.Millisecond)
 		So(storerelay.PatienceWithin(time.Second), ShouldEqual, storerelay.DefaultPatience)
