--- a/internal/batchrun/batchrun_test.go
+++ b/internal/batchrun/batchrun_test.go
@@ -305,14 +305,14 @@
 // Guards against items sent to engines that refuse them because they are loading weights.
 func TestLoadingEngines(t *testing.T) {
 	runScenario(t, "No item is sent to an engine while it loads weights", func(h *harness) {
-		h.runner.NoteLoading("a", true)
+		h.runner.SetLoading("a", true)
 		So(h.runner.Submit(context.Background(), newJob("one", 6)), ShouldBeNil)
 		So(h.results("one", 5*time.Second), ShouldHaveLength, 6)
 		for i := range 6 {
 			So(h.engines.executionsOf(fmt.Sprintf("one-%d", i))[0].engine, ShouldEqual, "b")
 		}
-		h.runner.NoteLoading("a", false)
-		h.runner.NoteLoading("b", true)
+		h.runner.SetLoading("a", false)
+		h.runner.SetLoading("b", true)
 		So(h.runner.Submit(context.Background(), newJob("two", 6)), ShouldBeNil)
 		So(h.results("two", 5*time.Second), ShouldHaveLength, 6)
 		for i := range 6 {
--- a/internal/batchrun/evacuation_test.go
+++ b/internal/batchrun/evacuation_test.go
@@ -166,7 +166,7 @@
 		h.evacuate(3, "zone-a")
 		for _, until := range []time.Duration{199 * time.Millisecond, 1799 * time.Millisecond} {
 			time.Sleep(until)
-			h.runner.NoteLoading("a", false)
+			h.runner.SetLoading("a", false)
 		}
 		time.Sleep(2*time.Millisecond + cancelLatency)
 		So(h.engines.activeAt("a"), ShouldEqual, 0)
--- a/internal/batchrun/runner.go
+++ b/internal/batchrun/runner.go
@@ -181,8 +181,8 @@
 	r.wakeScheduler()
 }
 
-// NoteLoading records whether an engine is loading weights. Such an engine gets no new items.
-func (r *Runner) NoteLoading(engineID string, loading bool) {
+// SetLoading records whether an engine is loading weights. Such an engine gets no new items.
+func (r *Runner) SetLoading(engineID string, loading bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.leads() {
--- a/internal/fleetnode/coordinator.go
+++ b/internal/fleetnode/coordinator.go
@@ -81,7 +81,7 @@
 		Holder:      config.Node.Name,
 		LeaseLength: config.Timing.LeaseLength,
 		Loaded:      runner.RecordVersion,
-		Loading:     runner.NoteLoading,
+		Loading:     runner.SetLoading,
 		Pause:       runner.Pause,
 		Demands:     runner.Demands,
 		Moved:       observed.engineMoved,
