--- a/internal/batchrun/runner.go
+++ b/internal/batchrun/runner.go
@@ -192,8 +192,8 @@
 	r.wakeScheduler()
 }
 
-// Pause returns the expected interval between two events at an engine.
-func (r *Runner) Pause(engineID string) time.Duration {
+// EventInterval returns the expected interval between two events at an engine.
+func (r *Runner) EventInterval(engineID string) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.leads() {
--- a/internal/fleetnode/coordinator.go
+++ b/internal/fleetnode/coordinator.go
@@ -82,7 +82,7 @@
 		LeaseLength: config.Timing.LeaseLength,
 		Loaded:      runner.RecordVersion,
 		Loading:     runner.SetLoading,
-		Pause:       runner.Pause,
+		Pause:       runner.EventInterval,
 		Demands:     runner.Demands,
 		Moved:       observed.engineMoved,
 		Logger:      telemetry.For(logger, telemetry.PartOrders),
