--- a/internal/batchrun/engine_record.go
+++ b/internal/batchrun/engine_record.go
@@ -15,8 +15,8 @@
 	intervalWeight = 0.12
 	// minFleetWeight is the minimum weight of the newest report in the moving average over all engines.
 	minFleetWeight = 0.01
-	// maxIntervalFactor bounds an observed interval relative to the average, because a pause to load weights does not mean that the engine is
-	// slow.
+	// maxIntervalFactor bounds an observed interval relative to the average, because one long interval, as during a weight load, is no
+	// sign of a slow engine.
 	maxIntervalFactor = 4
 	// intervalTTL is how long the average of an engine without events remains fully valid.
 	intervalTTL = 3 * time.Second
--- a/internal/batchrun/harness_test.go
+++ b/internal/batchrun/harness_test.go
@@ -57,7 +57,7 @@
 // fakeEngines executes requests in memory. It implements forward.Transport.
 type fakeEngines struct {
 	mu         sync.Mutex
-	behaviours map[string]engineBehavior
+	behaviors map[string]engineBehavior
 	executions []*execution
 	events     int
 }
@@ -65,7 +65,7 @@
 func (e *fakeEngines) setBehavior(id string, b engineBehavior) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.behaviours[id] = b
+	e.behaviors[id] = b
 }
 
 func (e *fakeEngines) executionsOf(id string) []execution {
@@ -89,7 +89,7 @@
 // Send implements forward.Transport.
 func (e *fakeEngines) Send(ctx context.Context, engine *fleet.Engine, request *forward.Request, options forward.SendOptions) (*forward.Answer, error) {
 	e.mu.Lock()
-	b := e.behaviours[engine.ID]
+	b := e.behaviors[engine.ID]
 	r := &execution{engine: engine.ID, id: request.ID, resumed: options.Resume, from: options.LastEventID, at: time.Now()}
 	if !b.notRun {
 		e.executions = append(e.executions, r)
@@ -167,7 +167,7 @@
 }
 
 func newHarness(route routing.Route) *harness {
-	h := &harness{engines: &fakeEngines{behaviours: make(map[string]engineBehavior), events: 20}, store: metastoretest.New(), state: fleet.NewState()}
+	h := &harness{engines: &fakeEngines{behaviors: make(map[string]engineBehavior), events: 20}, store: metastoretest.New(), state: fleet.NewState()}
 	route.Host, route.Prefix, route.Kind = host, "/rollout/", routing.KindBatch
 	route.Targets = []routing.Target{{Service: "pool", Weight: 1}}
 	route.MaxAttempts, route.MaxQueue, route.ResultDeadline = 3, time.Minute, 8*time.Second
--- a/internal/batchrun/paths_test.go
+++ b/internal/batchrun/paths_test.go
@@ -300,7 +300,7 @@
 	}
 	h := &pathHarness{
 		deployment: &deployment{revision: 1, evacuated: map[string]int64{}, regions: map[string][]string{}},
-		engineSet:  &fakeEngines{behaviours: make(map[string]engineBehavior), events: rapid.IntRange(5, 60).Draw(t, "events")},
+		engineSet:  &fakeEngines{behaviors: make(map[string]engineBehavior), events: rapid.IntRange(5, 60).Draw(t, "events")},
 		sends:      sent,
 	}
 	for range rapid.IntRange(2, 5).Draw(t, "engines") {
--- a/internal/batchrun/report.go
+++ b/internal/batchrun/report.go
@@ -24,7 +24,7 @@
 		return itemwork.Unwanted
 	}
 	if known.over {
-		return dispositionOfOver(report)
+		return dispositionWhenOver(report)
 	}
 	known.lastReport = r.now()
 	r.observeReport(known, report)
@@ -51,9 +51,9 @@
 	return itemwork.Wanted
 }
 
-// dispositionOfOver returns what a worker may do with a run that is over. It must stop a stream and make no reward call: the item has
+// dispositionWhenOver returns what a worker may do with a run that is over. It must stop a stream and make no reward call: the item has
 // another run, and nothing would cancel the call when the job ends. The worker keeps ended runs for a later term.
-func dispositionOfOver(report *itemwork.Report) itemwork.Disposition {
+func dispositionWhenOver(report *itemwork.Report) itemwork.Disposition {
 	switch {
 	case report.End.Verdict == itemwork.VerdictNone:
 		return itemwork.Unwanted
