--- a/internal/batchrun/candidates.go
+++ b/internal/batchrun/candidates.go
@@ -14,15 +14,13 @@
 const (
 	// maxPromptHolders bounds the engines recorded per shared prompt.
 	maxPromptHolders = 16
-	// speedClassFactor is the ratio of event intervals that separates two speed classes. It exceeds the variation between engines of one
-	// kind.
+	// speedClassFactor is the ratio of event intervals that separates two speed classes.
 	speedClassFactor = 1.2
 	// maxSpeedClass is the slowest speed class that items with slack are placed in. A slower engine is probably faulty.
 	maxSpeedClass = 4
 )
 
-// schedulingPass caches the candidate engines for one pass of the scheduler, ordered in heaps, so that the cost per item does not grow with
-// the number of engines.
+// schedulingPass caches the candidate engines of one scheduler pass in heaps, so that the cost per item does not grow with the number of engines.
 type schedulingPass struct {
 	runner *Runner
 	view   *fleet.View
@@ -35,13 +33,11 @@
 
 // pool holds the engines of a service with free slots, for the items of one model and residency.
 type pool struct {
-	// byVersion groups the engines by the model's weight version.
 	byVersion map[int64]*candidateGroup
 	byID      map[string]*candidate
 	key       poolKey
 	// complete is true if the pool was built from all permitted engines, not a subset.
-	complete bool
-	// minInterval is the shortest event interval of any engine in the pool.
+	complete    bool
 	minInterval time.Duration
 }
 
@@ -93,8 +89,8 @@
 	return created
 }
 
-// widen replaces a subset pool that has no engine for an item by the pool of all permitted engines. It returns nil if the pool is complete,
-// or if it was widened within widenInterval.
+// widen replaces a subset pool that has no engine for an item by the pool of all permitted engines. It returns nil if the pool is complete, or if it
+// was widened within widenInterval.
 func (s *schedulingPass) widen(narrow *pool, residency placement.Residency) *pool {
 	if narrow.complete || !s.runner.tryWiden(narrow.key, s.now) {
 		return nil
@@ -161,8 +157,8 @@
 	p.byID[added.engine.ID] = added
 }
 
-// choose returns the engine for an item and the event interval expected there, or nil if none can take it now. The engine's weights are of
-// minVersion or newer.
+// choose returns the engine for an item and the event interval expected there, or nil if none can take it now. The engine's weights are of minVersion
+// or newer.
 func (s *schedulingPass) choose(route *routing.Route, it *item, minVersion int64) (best *candidate, bestCost float64) {
 	from := s.poolOf(route, it)
 	if best, bestCost = s.chooseFrom(from, route, it, minVersion); best != nil {
@@ -197,8 +193,8 @@
 	return best, bestCost
 }
 
-// chooseWithSlack returns the slowest engine that is expected to produce the item's text within the limit, to keep faster engines free for
-// long texts. It falls back to choose.
+// chooseWithSlack returns the slowest engine that is expected to produce the item's text within the limit, to keep faster engines free for long
+// texts. It falls back to choose.
 func (s *schedulingPass) chooseWithSlack(route *routing.Route, it *item, minVersion int64, events float64, limit time.Duration) *candidate {
 	from := s.poolOf(route, it)
 	var best *candidate
@@ -295,10 +291,8 @@
 	}
 }
 
-// heapOrder is the sort order of a candidateHeap.
 type heapOrder int
 
-// Sort orders of a candidateHeap.
 const (
 	// orderCheapest sorts by the expected cost of one more item.
 	orderCheapest heapOrder = iota
--- a/internal/batchrun/checkpoint.go
+++ b/internal/batchrun/checkpoint.go
@@ -13,17 +13,16 @@
 )
 
 const (
-	// checkpointInterval is the delay between two checkpoints of unfinished texts.
 	checkpointInterval = 250 * time.Millisecond
-	// rewriteSlack is how many bytes beyond twice its last rewritten size the log may grow before it is rewritten. It bounds the time to
-	// read the log back.
+	// rewriteSlack is how many bytes beyond twice its last rewritten size the log may grow before it is rewritten. It bounds the time to read the log
+	// back.
 	rewriteSlack = 2 << 20
 	// minCheckpointEvents is the minimum length of a text in a checkpoint. Shorter texts are cheap to produce again.
 	minCheckpointEvents = 10
 )
 
-// restoreTexts loads the checkpoints of earlier terms from this process's disk, so that unfinished and carried-over items resume from them.
-// It returns the log of this term, or nil if no disk is configured or it is not writable. The mutex must be held.
+// restoreTexts loads the checkpoints of earlier terms from this process's disk, so that unfinished and carried-over items resume from them. It
+// returns the log of this term, or nil if no disk is configured or it is not writable. The mutex must be held.
 func (r *Runner) restoreTexts() *textlog.Log {
 	if r.TextFolder == "" {
 		return nil
--- a/internal/batchrun/cold.go
+++ b/internal/batchrun/cold.go
@@ -8,8 +8,8 @@
 	"github.com/covelink/covelink/internal/routing"
 )
 
-// Quota is the rate limit of cold engines, which can bear only part of their load. A grant is given at once or not at all: items without a
-// grant wait in the runner's queue.
+// Quota is the rate limit of cold engines, which can bear only part of their load. A grant is given at once or not at all: items without a grant wait
+// in the runner's queue.
 type Quota interface {
 	// Cold reports whether a run at the engine needs a grant now.
 	Cold(engine *fleet.Engine) bool
--- a/internal/batchrun/cold_test.go
+++ b/internal/batchrun/cold_test.go
@@ -116,7 +116,6 @@
 	})
 }
 
-// delayPoll delays the reply to a poll, like a stalled link.
 func (h *workerHarness) delayPoll(reply itemwork.PollReply) itemwork.PollReply {
 	time.Sleep(time.Duration(h.pollDelay.Load()))
 	return reply
--- a/internal/batchrun/demand.go
+++ b/internal/batchrun/demand.go
@@ -49,8 +49,8 @@
 	return demands
 }
 
-// OpenItems returns the number of items without a result in jobs that have not ended, or zero while this process does not lead. Its cost is
-// linear in the number of items.
+// OpenItems returns the number of items without a result in jobs that have not ended, or zero while this process does not lead. Its cost is linear in
+// the number of items.
 func (r *Runner) OpenItems() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/batchrun/detached.go
+++ b/internal/batchrun/detached.go
@@ -16,8 +16,8 @@
 	detachedTTL = 6 * time.Second
 )
 
-// detach lets the run of an item continue after the end of its job, without a reward call, if the job into which the item is expected to be
-// carried over may use the text. It reports whether the run continues. The mutex must be held.
+// detach lets the run of an item continue after the end of its job, without a reward call, if the job into which the item is expected to be carried
+// over may use the text. It reports whether the run continues. The mutex must be held.
 func (r *Runner) detach(it *item) bool {
 	if it.phase != phaseRunning || it.run.moving || it.text.Len() <= it.run.initialEvents || len(r.detached) >= maxDetached {
 		return false
@@ -41,8 +41,8 @@
 // isDetached reports whether a run continues after the end of its job.
 func (r *Runner) isDetached(known *run) bool { return r.detached[known.item.textKey()] == known }
 
-// attach assigns a detached run to an item carried over into a later job, or cancels the run if that job may not use its text. The mutex
-// must be held.
+// attach assigns a detached run to an item carried over into a later job, or cancels the run if that job may not use its text. The mutex must be
+// held.
 func (r *Runner) attach(detached *run, it *item) {
 	delete(r.detached, it.textKey())
 	text := detached.item.text
@@ -80,8 +80,8 @@
 	}
 }
 
-// keepText keeps an item's text for a later job. This includes items with a result: a group is carried over as a whole if its trainer has
-// not read all of its results.
+// keepText keeps an item's text for a later job. This includes items with a result: a group is carried over as a whole if its trainer has not read
+// all of its results.
 func (r *Runner) keepText(it *item) {
 	if it.text.Len() == 0 {
 		return
--- a/internal/batchrun/draining.go
+++ b/internal/batchrun/draining.go
@@ -13,13 +13,11 @@
 )
 
 const (
-	// drainShare is the share of EvacuateTime that the runner spends on ending runs in the zone. The rest allows for the delay until the
-	// coordinator learns of the evacuation.
+	// drainShare is the share of EvacuateTime spent on ending runs. The rest covers the delay until the coordinator learns of the evacuation.
 	drainShare = 0.4
 	// drainInterval is the delay between two selections of runs to end.
 	drainInterval = 200 * time.Millisecond
-	// drainMargin is how long before the deadline all remaining runs are ended: the next selection may come drainInterval plus
-	// scheduleInterval later.
+	// drainMargin is how long before the deadline all remaining runs are ended, as the next selection may come too late.
 	drainMargin = drainInterval + scheduleInterval
 )
 
@@ -28,8 +26,7 @@
 	// evacuations is the value of the last update; nil while evacuations are unknown.
 	evacuations *fleet.Evacuations
 	zones       map[string]drainingZone
-	// selectedAt is when runs to end were last selected.
-	selectedAt time.Time
+	selectedAt  time.Time
 }
 
 type drainingZone struct {
@@ -39,8 +36,7 @@
 	deadline time.Time
 }
 
-// update records the evacuations. A newly evacuated zone must be empty after the window, or at once if evacuations were unknown before,
-// because the zone may have been evacuated long ago.
+// update records the evacuations. A newly evacuated zone must be empty after the window, or at once if evacuations were unknown before.
 func (e *drainingZones) update(evacuations *fleet.Evacuations, now time.Time, window time.Duration) {
 	if evacuations == e.evacuations {
 		return
@@ -70,22 +66,20 @@
 	run *run
 	// timeLeft is the expected remaining time of the stream, and untilDeadline the time until the zone's drain deadline.
 	timeLeft, untilDeadline time.Duration
-	// freeSlots counts the free slots in the pool where the item could resume. Runs of one pool share the counter. It is nil if no engine
-	// can take the item now.
+	// freeSlots counts the free slots in the pool where the item could resume. Runs of one pool share the counter. It is nil if no engine can take
+	// the item now.
 	freeSlots *int
 	// unwanted is true if no job waits for the run. Such a run continues until the deadline.
 	unwanted bool
 }
 
-// mustEnd reports whether the run must be ended now.
 func (s *evacuatedRun) mustEnd() bool { return s.untilDeadline <= drainMargin }
 
 // mayStay reports whether the run is left alone until mustEnd: its stream is expected to end in time, or no job waits for its item.
 func (s *evacuatedRun) mayStay() bool { return s.unwanted || s.timeLeft < s.untilDeadline-drainMargin }
 
-// selectRunsToEnd returns all runs that must end now, plus an equal share of the others for each remaining interval, which spreads the
-// prefill load at their new engines. Of the others, those with the most time left come first, and no more than there are free slots
-// elsewhere.
+// selectRunsToEnd returns all runs that must end now, and an equal share of the others per remaining interval, to spread the prefill load. Of the
+// others, those with the most time left come first, and no more than there are free slots elsewhere.
 func selectRunsToEnd(evacuated []evacuatedRun) []*run {
 	var chosen []*run
 	var optional []evacuatedRun
@@ -117,8 +111,8 @@
 	return chosen
 }
 
-// drainEvacuatedZones ends runs in evacuated zones before the drain deadline, so that their items resume elsewhere. It returns the longest
-// delay until the next call, which is idleInterval once no runs are left. The mutex must be held.
+// drainEvacuatedZones ends runs in evacuated zones before the drain deadline, so that their items resume elsewhere. It returns the longest delay
+// until the next call, which is idleInterval once no runs are left. The mutex must be held.
 func (r *Runner) drainEvacuatedZones(pass *schedulingPass) (delay time.Duration) {
 	if r.EvacuateTime == 0 {
 		return idleInterval
@@ -130,8 +124,7 @@
 		return idleInterval
 	}
 	if elapsed := now.Sub(draining.selectedAt); elapsed < drainInterval {
-		// Runs may have been adopted since the last selection, even if it left none. Waiting for idleInterval would end them after the
-		// deadline.
+		// Runs may have been adopted since the last selection; idleInterval could exceed their deadline.
 		return drainInterval - elapsed
 	}
 	evacuated := r.evacuatedRuns(pass, now)
@@ -192,8 +185,8 @@
 	return known.zone
 }
 
-// freeSlotsFor returns the counter of free slots in the pool where an item could resume, or nil if no engine of that pool can take the item
-// now. counters caches the counters by pool. The mutex must be held.
+// freeSlotsFor returns the counter of free slots in the pool where an item could resume, or nil if no engine of that pool can take the item now.
+// counters caches the counters by pool. The mutex must be held.
 func (r *Runner) freeSlotsFor(pass *schedulingPass, it *item, counters map[*pool]*int) *int {
 	if pass.view.Routes == nil {
 		return nil
@@ -224,8 +217,8 @@
 	return free
 }
 
-// pendingFor counts the items that will soon take a slot in a pool: waiting items, and items whose runs were ended so that they resume
-// elsewhere. The mutex must be held.
+// pendingFor counts the items that will soon take a slot in a pool: waiting items, and items whose runs were ended so that they resume elsewhere. The
+// mutex must be held.
 func (r *Runner) pendingFor(pass *schedulingPass, target *pool) int {
 	count := 0
 	for _, j := range r.order {
--- a/internal/batchrun/draining_test.go
+++ b/internal/batchrun/draining_test.go
@@ -124,8 +124,7 @@
 	}
 }
 
-// One selection per interval must empty a zone by its deadline for any lengths and free slots. Before the deadline, no more runs are ended
-// than there are free slots.
+// Zones must be empty by the deadline for any lengths and free slots, and no more runs end early than there are free slots.
 func TestSelectRunsToEndInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 60).Draw(t, "runs")
--- a/internal/batchrun/engine_record.go
+++ b/internal/batchrun/engine_record.go
@@ -15,8 +15,8 @@
 	intervalWeight = 0.12
 	// minFleetWeight is the minimum weight of the newest report in the moving average over all engines.
 	minFleetWeight = 0.01
-	// maxIntervalFactor bounds an observed interval relative to the average, because one long interval, as during a weight load, is no
-	// sign of a slow engine.
+	// maxIntervalFactor bounds an observed interval relative to the average, because one long interval, as during a weight load, is no sign of a slow
+	// engine.
 	maxIntervalFactor = 4
 	// intervalTTL is how long the average of an engine without events remains fully valid.
 	intervalTTL = 3 * time.Second
@@ -34,8 +34,7 @@
 	// busyBackoff is the initial backoff of an engine that refused an item. It doubles with each consecutive refusal, up to maxBusyBackoff.
 	busyBackoff    = 80 * time.Millisecond
 	maxBusyBackoff = 500 * time.Millisecond
-	// maxPrefixes bounds the shared prompts recorded per engine.
-	maxPrefixes = 256
+	maxPrefixes    = 256
 )
 
 // engineRecord holds the runner's own observations of an engine, in addition to the engine list.
@@ -45,13 +44,11 @@
 	isolated     int
 	backoffUntil time.Time
 	failures     int
-	// loading is true while the engine loads weights.
-	loading bool
+	loading      bool
 	// averageInterval is the moving average of the interval between two events, and observedAt the time of its last update.
 	averageInterval time.Duration
 	observedAt      time.Time
-	// fleetInterval is the average over all engines.
-	fleetInterval *fleetInterval
+	fleetInterval   *fleetInterval
 	// refusals counts consecutive refusals.
 	refusals int
 	// versions holds the weight versions by model that responses and reports contained, and versionsAt the time of the last one.
@@ -70,8 +67,7 @@
 	return record
 }
 
-// version returns the weight version of a model at an engine, as far as known. A recently reported version takes precedence over the engine
-// list.
+// version returns the weight version of a model at an engine, as far as known. A recently reported version takes precedence over the engine list.
 func (e *engineRecord) version(engine *fleet.Engine, model string, now time.Time) int64 {
 	reported, ok := e.versions[model]
 	if ok && now.Sub(e.versionsAt) < reportedVersionTTL {
@@ -136,8 +132,7 @@
 	f.average += time.Duration(max(1/float64(f.count), minFleetWeight) * float64(interval-f.average))
 }
 
-// cost returns the expected event interval of one more item in seconds, reduced if the engine holds the shared prompt and multiplied for
-// recent refusals.
+// cost returns the expected event interval of one more item in seconds, reduced for a shared prompt and multiplied for recent refusals.
 func (e *engineRecord) cost(slots int, prefix string, now time.Time) float64 {
 	cost := e.eventInterval(now).Seconds() * (1 + loadFactor*float64(e.running)/float64(slots))
 	if _, held := e.prefixes[prefix]; held && prefix != "" {
--- a/internal/batchrun/evacuation_test.go
+++ b/internal/batchrun/evacuation_test.go
@@ -233,7 +233,6 @@
 	})
 }
 
-// removeEngineB removes engine b from the engine list.
 func (h *harness) removeEngineB() {
 	h.state.SetEngineList([]*fleet.Engine{
 		{ID: "a", Service: "pool", Zone: "zone-a", Slots: 8, Ready: true, Versions: map[string]int64{model: 1}},
@@ -304,8 +303,7 @@
 		h.shouldBeWholeJob("job", results, 6)
 		So(h.engines.executionsOf("job-0"), ShouldHaveLength, 2)
 	})
-	// The worker polls for the next term every 150 ms and reports its runs later. The delays place that report before, at and after the
-	// second scheduling pass of the term.
+	// The worker polls for the next term every 150 ms. The delays place its reports before, at and after the second scheduling pass of the term.
 	for _, pause := range []time.Duration{595 * time.Millisecond, 600 * time.Millisecond, 640 * time.Millisecond, 700 * time.Millisecond} {
 		name := "A later term at once ends the runs that it adopts in a zone evacuated at an unknown time; delay of its start: "
 		runWorkerScenario(t, name+pause.String(), func(h *workerHarness) {
--- a/internal/batchrun/groups.go
+++ b/internal/batchrun/groups.go
@@ -29,8 +29,7 @@
 	return slices.ContainsFunc(g.items, func(it *item) bool { return it.carriedOver })
 }
 
-// assumeCarriedOver marks the groups that may have been carried over: they come first, and are at most half of the groups that the trainer
-// wants.
+// assumeCarriedOver marks the groups that may have been carried over: they come first, and are at most half of the groups that the trainer wants.
 func (j *job) assumeCarriedOver() {
 	for _, group := range j.groups[:min((j.Desired+1)/2, len(j.groups))] {
 		for _, it := range group.items {
@@ -59,14 +58,13 @@
 // groupForecast holds what decides whether a trainer is expected to wait for a group.
 type groupForecast struct {
 	finished bool
-	// required is true for groups that the trainer waits for in any case, renewed for groups that were restarted and complete too late for
-	// this job.
+	// required is true for groups that the trainer waits for in any case, renewed for groups that were restarted and complete too late for this job.
 	required, renewed bool
 	timeLeft          time.Duration
 }
 
-// spareGroups returns which of a job's groups its trainer is not expected to wait for: those that take longest beyond the desired number.
-// It also returns the remaining time of the longest group that is waited for.
+// spareGroups returns which of a job's groups its trainer is not expected to wait for: those that take longest beyond the desired number. It also
+// returns the remaining time of the longest group that is waited for.
 func spareGroups(forecasts []groupForecast, desired int) (spare []bool, longest time.Duration) {
 	spare = make([]bool, len(forecasts))
 	unfinished := 0
--- a/internal/batchrun/harness_test.go
+++ b/internal/batchrun/harness_test.go
@@ -45,7 +45,6 @@
 	hangs bool
 }
 
-// execution is one request executed by a fake engine.
 type execution struct {
 	engine, id string
 	resumed    bool
@@ -57,7 +56,7 @@
 // fakeEngines executes requests in memory. It implements forward.Transport.
 type fakeEngines struct {
 	mu         sync.Mutex
-	behaviors map[string]engineBehavior
+	behaviors  map[string]engineBehavior
 	executions []*execution
 	events     int
 }
--- a/internal/batchrun/job.go
+++ b/internal/batchrun/job.go
@@ -14,9 +14,7 @@
 type phase int
 
 const (
-	// phaseWaiting means that the item waits for an engine.
 	phaseWaiting phase = iota
-	// phaseRunning means that the item runs at an engine.
 	phaseRunning
 	// phaseScoring means that the text is complete and the reward call is in progress.
 	phaseScoring
@@ -39,8 +37,7 @@
 	notBefore time.Time
 	// moves counts the moves to faster engines.
 	moves int
-	// checkpointed is the number of events in the checkpoint on disk. checkpointedWhole is true if the checkpoint marks the text as
-	// complete.
+	// checkpointed is the number of events in the checkpoint on disk. checkpointedWhole is true if the checkpoint marks the text as complete.
 	checkpointed      int
 	checkpointedWhole bool
 	// renewing is true while the item's run is being canceled to restart the item from scratch.
@@ -52,12 +49,10 @@
 	run *run
 	// cachedFingerprint is the fingerprint of the item's request, or nil until it is first needed.
 	cachedFingerprint *quarantine.Fingerprint
-	// trial is the state of the item's trial run while quarantine holds the item.
-	trial trial
+	trial             trial
 }
 
-// textKey returns the key of the item's text for later jobs, in memory and on disk. It includes the tenant, so that no tenant gets
-// another's text.
+// textKey returns the key of the item's text for later jobs, in memory and on disk. It includes the tenant, so that no tenant gets another's text.
 func (it *item) textKey() string { return it.job.Tenant + textKeySeparator + it.ID }
 
 // textKeySeparator cannot occur in a tenant name, because headers cannot contain it.
@@ -77,8 +72,7 @@
 	longest time.Duration
 	// accepted is when this process started to run the job.
 	accepted time.Time
-	// runs holds the IDs of the runs of the job's items.
-	runs []itemwork.RunID
+	runs     []itemwork.RunID
 	// noWorkerLogged limits the log line about missing workers in allowed regions to one per job.
 	noWorkerLogged bool
 	// ended is true once the end was requested, and sealed once the end is durable.
@@ -88,8 +82,7 @@
 	listed []batch.Result
 	// furthestRead is the highest position up to which results were returned, and newestRead the start of the read that reached it.
 	furthestRead, newestRead int
-	// pending holds results that are not durable yet, pendingSince is when the first of them was added, and groupPending is true if one of
-	// them completes a group.
+	// pending holds results that are not durable yet, pendingSince is when the first was added, and groupPending is true if one completes a group.
 	pending      []batch.Result
 	pendingSince time.Time
 	groupPending bool
@@ -164,7 +157,6 @@
 	j.changed = make(chan struct{})
 }
 
-// finish ends all work on an item whose result is durable.
 func (it *item) finish() {
 	it.phase = phaseFinished
 	it.stop()
--- a/internal/batchrun/lengths.go
+++ b/internal/batchrun/lengths.go
@@ -13,16 +13,16 @@
 	minLengthError = 0.2
 	// lengthWeight is the minimum weight of the newest text in the moving averages.
 	lengthWeight = 0.005
-	// tailGrowth is the expected rest of a text far beyond its estimate, relative to its length. It applies where the conditional mean is
-	// numerically undefined.
+	// tailGrowth is the expected rest of a text far beyond its estimate, relative to its length. It applies where the conditional mean is numerically
+	// undefined.
 	tailGrowth = 0.1
 )
 
-// lengthModel predicts text lengths in events from the callers' estimates in tokens and from completed texts. It assumes a log-normal
-// distribution around the corrected estimate. It is not safe for concurrent use.
+// lengthModel predicts text lengths in events from the callers' estimates in tokens and from completed texts. It assumes a log-normal distribution
+// around the corrected estimate. It is not safe for concurrent use.
 type lengthModel struct {
-	// count is the number of texts with an estimate, logRatio the moving average of the logarithm of their events per estimated token, and
-	// variance the moving average of its squared error.
+	// count is the number of texts with an estimate, logRatio the moving average of the logarithm of their events per estimated token, and variance
+	// the moving average of its squared error.
 	count              int
 	logRatio, variance float64
 	// unestimatedCount is the number of texts without an estimate, and unestimatedLog the moving average of the logarithm of their events.
--- a/internal/batchrun/local_sink.go
+++ b/internal/batchrun/local_sink.go
@@ -17,8 +17,7 @@
 	end      itemwork.End
 	// released is true if the run must make no reward call.
 	released atomic.Bool
-	// cancel ends the run.
-	cancel func()
+	cancel   func()
 }
 
 var _ itemwork.Sink = (*localSink)(nil)
--- a/internal/batchrun/paths_test.go
+++ b/internal/batchrun/paths_test.go
@@ -93,7 +93,6 @@
 	regions map[string][]string
 }
 
-// table returns the route table with its tenants.
 func (d *deployment) table() *routing.Table {
 	route := func(name, service string, kind routing.Kind) routing.Route {
 		return routing.Route{
@@ -112,8 +111,8 @@
 	return table
 }
 
-// applyTo sets a process's view to the current deployment. Nothing runs between the parts of the change, so that each send is checked
-// against the view on which it was decided.
+// applyTo sets a process's view to the current deployment. It lets all goroutines settle between the parts, so that each send is checked against its
+// view.
 func (d *deployment) applyTo(state *fleet.State) {
 	synctest.Wait()
 	state.SetRoutes(d.table())
@@ -124,7 +123,6 @@
 	synctest.Wait()
 }
 
-// coordinatorZone is the zone of the coordinator.
 const coordinatorZone = "zone-0"
 
 // pathHarness is a coordinator and two workers, each with its own view.
@@ -188,7 +186,6 @@
 	}
 }
 
-// addEngine starts an engine.
 func (h *pathHarness) addEngine(t *rapid.T, service string, zones []string) {
 	id := fmt.Sprintf("%s-%d", service, h.revision)
 	h.revision++
@@ -260,7 +257,7 @@
 	h.running.Go(func() { h.forwarder.Do(context.Background(), route, request, boottime.Now().Add(2*time.Second)) })
 }
 
-// settle removes all evacuations and region bounds, adds engines in the coordinator's zone, and checks that every accepted job completes.
+// settle removes evacuations and region bounds, adds engines in the coordinator's zone, and checks that every accepted job completes.
 func (h *pathHarness) settle(t *rapid.T, zones []string) {
 	h.revision++
 	h.evacuated, h.regions = map[string]int64{}, nil
@@ -335,8 +332,8 @@
 // virtualTB hides the Deadline method of *testing.T from rapid, because testing/synctest forbids calling it.
 type virtualTB struct{ *testing.T }
 
-// For any topology, configuration, evacuations and order of updates: no path sends what the placement filter refuses under the sender's
-// view, and no event is lost or duplicated.
+// For any topology, configuration, evacuations and order of updates: no path sends what the placement filter refuses under the sender's view, and no
+// event is lost or duplicated.
 func TestSendPaths(t *testing.T) {
 	sent := &sends{byPath: make(map[string]int)}
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/batchrun/place.go
+++ b/internal/batchrun/place.go
@@ -17,8 +17,7 @@
 const (
 	// scheduleInterval is the longest delay between two scheduling passes while items wait.
 	scheduleInterval = 100 * time.Millisecond
-	// schedulePauseFactor is the minimum delay after a scheduling pass, as a multiple of the pass's duration. It coalesces runs that end
-	// together.
+	// schedulePauseFactor is the minimum delay after a scheduling pass, as a multiple of the pass's duration. It coalesces wake-ups.
 	schedulePauseFactor = 4
 	// idleInterval is the longest delay between two scheduling passes while no items wait.
 	idleInterval = time.Second
@@ -28,16 +27,13 @@
 	moveInterval = 200 * time.Millisecond
 	// minMoveAge is how long a run must have lasted before its item may be moved.
 	minMoveAge = 400 * time.Millisecond
-	// slackShare is the share of the remaining time of a job's longest group that the text of an item may take at a slower engine. It is
-	// well below 1 because length estimates are imprecise.
+	// slackShare is the share of the remaining time of a job's longest group that an item's text may take at a slower engine.
 	slackShare = 0.5
-	// maxMoveBackoff bounds how often minMoveAge doubles with each move of an item, so that an item does not follow every change in the
-	// ranking of similar engines.
+	// maxMoveBackoff bounds how often minMoveAge doubles with each move, so that items do not alternate between similar engines.
 	maxMoveBackoff = 2
-	// minMoveSpeedup is how many times slower than another engine an item's engine must be before the item is moved. It exceeds the
-	// variation between engines of one kind.
+	// minMoveSpeedup is how many times slower than another engine an item's engine must be before the item is moved.
 	minMoveSpeedup = 1.15
-	// minMoveGain is the minimum expected time saved by a move. It covers the cost of the move and the error of the estimate.
+	// minMoveGain is the minimum expected time saved by a move. It covers the cost of the move and estimation errors.
 	minMoveGain = 300 * time.Millisecond
 )
 
@@ -99,8 +95,8 @@
 			left++
 			continue
 		}
-		// Items of one group share a prompt, hence their engines, so an engine fault isolates all of them. Running them on separate engines
-		// shows which item causes the fault.
+		// Items of one group share a prompt, hence their engines, so an engine fault isolates all of them. Running them on separate engines shows
+		// which item causes the fault.
 		isolated := status.Standing >= quarantine.Isolated
 		chosen := r.place(pass, waiting, isolated)
 		if chosen == nil || !r.canExecute(waiting.item) {
@@ -121,8 +117,8 @@
 	return left
 }
 
-// place chooses the engine for a waiting item, or returns nil if none can take it now. An isolated item waits for an engine without another
-// isolated run.
+// place chooses the engine for a waiting item, or returns nil if none can take it now. An isolated item waits for an engine without another isolated
+// run.
 func (r *Runner) place(pass *schedulingPass, waiting waitingItem, isolated bool) *candidate {
 	it := waiting.item
 	minVersion := r.preferredVersion(pass, waiting.route, it)
@@ -133,8 +129,8 @@
 	return pass.chooseWithSlack(waiting.route, it, minVersion, events, time.Duration(slackShare*float64(it.job.longest)))
 }
 
-// moveFromSlowEngines cancels runs on engines that are slower than another engine with free slots, so that their items resume there. Items
-// with the most time left come first, at most one per engine. It returns the number of running items. The mutex must be held.
+// moveFromSlowEngines cancels runs on engines that are slower than another engine with free slots, so that their items resume there. Items with the
+// most time left come first, at most one per engine. It returns the number of running items. The mutex must be held.
 func (r *Runner) moveFromSlowEngines(pass *schedulingPass) (running int) {
 	if pass.view.Routes == nil {
 		return 0
--- a/internal/batchrun/policy_test.go
+++ b/internal/batchrun/policy_test.go
@@ -38,8 +38,7 @@
 	So(h.runner.Submit(context.Background(), job), ShouldBeNil)
 }
 
-// endAfterRenewal runs a job with a long and a short group, of which the trainer wants one, until the long one is restarted at an engine
-// with newer weights. It then ends the job.
+// endAfterRenewal ends a job with a long and a short group, of which the trainer wants one, once the long one was restarted with newer weights.
 func (h *harness) endAfterRenewal() {
 	h.engines.events = 150
 	h.listPool(map[string]int64{"a": 1})
--- a/internal/batchrun/quarantine.go
+++ b/internal/batchrun/quarantine.go
@@ -22,7 +22,6 @@
 	trialGranted
 )
 
-// fingerprint identifies the item's request.
 func (it *item) fingerprint() quarantine.Fingerprint {
 	if it.cachedFingerprint == nil {
 		request := itemwork.Assignment{Host: it.job.Host, Path: it.Path, Tenant: it.job.Tenant, Body: it.Body}
@@ -32,8 +31,7 @@
 	return *it.cachedFingerprint
 }
 
-// quarantineStatus returns the quarantine status of an item's request. It skips the fingerprint while the table is empty, which is the
-// usual case.
+// quarantineStatus returns the quarantine status of an item's request. It skips the fingerprint while the table is empty, which is the usual case.
 func (r *Runner) quarantineStatus(it *item) quarantine.Status {
 	if r.Guard == nil || r.Guard.Table.Empty() {
 		return quarantine.Status{}
@@ -41,8 +39,8 @@
 	return r.Guard.Table.Status(it.fingerprint())
 }
 
-// heldByQuarantine reports whether an item must not run now because engines have failed while running it, and requests a trial run when one
-// is due. Without it, one item could crash engine after engine. The mutex must be held.
+// heldByQuarantine reports whether an item must not run now because engines have failed while running it, and requests a trial run when one is due.
+// Without it, one item could crash engine after engine. The mutex must be held.
 func (r *Runner) heldByQuarantine(it *item, status quarantine.Status, now time.Time) bool {
 	if status.Standing != quarantine.Held || it.trial == trialGranted {
 		return false
--- a/internal/batchrun/queue.go
+++ b/internal/batchrun/queue.go
@@ -27,8 +27,8 @@
 	latestStart time.Time
 }
 
-// before reports whether an item is placed before another. Least slack goes first: long items precede short ones, also across jobs. Slack
-// shrinks over time, so no item starves.
+// before reports whether an item is placed before another. Least slack goes first: long items precede short ones, also across jobs. Slack shrinks
+// over time, so no item starves.
 func (u urgency) before(other urgency) bool {
 	if order := u.rank.Compare(other.rank); order != 0 {
 		return order < 0
--- a/internal/batchrun/remote_test.go
+++ b/internal/batchrun/remote_test.go
@@ -99,7 +99,6 @@
 	}
 }
 
-// submit submits a job with the given number of items.
 func (h *workerHarness) submit(id string, items int) {
 	So(h.runner.Submit(context.Background(), newJob(id, items)), ShouldBeNil)
 }
--- a/internal/batchrun/renew.go
+++ b/internal/batchrun/renew.go
@@ -10,14 +10,12 @@
 )
 
 const (
-	// renewWait bounds how long a restarted item waits for an engine of its preferred version, so that it is not without an engine for
-	// long.
+	// renewWait bounds how long a restarted item waits for an engine of its preferred version, so that it is not without an engine for long.
 	renewWait = time.Second
 )
 
-// carryOverOffset returns by how much the job into which unfinished items are carried over requires newer weights than their current job:
-// the last observed offset, and at least one version for each open job of the model. A trainer's first jobs all require the first version,
-// so their offsets are not conclusive. The mutex must be held.
+// carryOverOffset returns by how much the later job of carried-over items requires newer weights: the last observed offset, and at least one version
+// per open job of the model, because a trainer's first jobs all require the first version. The mutex must be held.
 func (r *Runner) carryOverOffset(model string) int64 {
 	open := int64(0)
 	for _, j := range r.order {
@@ -28,12 +26,12 @@
 	return max(open, r.carryOverOffsets[model], 1)
 }
 
-// carryOverVersion returns the minimum weight version expected of the job into which unfinished items of this one are carried over. The
-// mutex must be held.
+// carryOverVersion returns the minimum weight version expected of the job into which unfinished items of this one are carried over. The mutex must be
+// held.
 func (r *Runner) carryOverVersion(j *job) int64 { return j.MinVersion + r.carryOverOffset(j.Model) }
 
-// renewSpareGroups restarts spare items at engines whose weights the later job allows. That job cannot use their current texts, but can use
-// the new ones. The mutex must be held.
+// renewSpareGroups restarts spare items at engines whose weights the later job allows. That job cannot use their current texts, but can use the new
+// ones. The mutex must be held.
 func (r *Runner) renewSpareGroups(pass *schedulingPass) {
 	if pass.view.Routes == nil {
 		return
@@ -51,8 +49,7 @@
 	}
 }
 
-// renewGroup restarts the running items of a group whose texts are older than the version, as far as engines of that version have free
-// slots.
+// renewGroup restarts the running items of a group whose texts are older than the version, as far as engines of that version have free slots.
 func (r *Runner) renewGroup(pass *schedulingPass, group *itemGroup, version int64) {
 	for _, it := range group.items {
 		if it.phase != phaseRunning || it.run.moving || it.text.Len() == 0 || it.text.Fits(itemwork.Bounds{MinVersion: version}) {
--- a/internal/batchrun/report.go
+++ b/internal/batchrun/report.go
@@ -51,8 +51,8 @@
 	return itemwork.Wanted
 }
 
-// dispositionWhenOver returns what a worker may do with a run that is over. It must stop a stream and make no reward call: the item has
-// another run, and nothing would cancel the call when the job ends. The worker keeps ended runs for a later term.
+// dispositionWhenOver returns what a worker may do with a run that is over. It must stop a stream and make no reward call: the item has another run,
+// and nothing would cancel the call when the job ends. The worker keeps ended runs for a later term.
 func dispositionWhenOver(report *itemwork.Report) itemwork.Disposition {
 	switch {
 	case report.End.Verdict == itemwork.VerdictNone:
@@ -79,8 +79,7 @@
 	}
 }
 
-// adopt takes over a run that an earlier term started or that was given up as lost. It returns nil if the run is of no use. The mutex must
-// be held.
+// adopt takes over a run that an earlier term started or that was given up as lost. It returns nil if the run is of no use. The mutex must be held.
 func (r *Runner) adopt(worker string, report *itemwork.Report) *run {
 	it := r.reportedItem(report)
 	if it == nil || report.From > 0 || (it.phase != phaseWaiting && it.phase != phaseRunning) {
@@ -114,8 +113,8 @@
 	return adopted
 }
 
-// reportedItem returns the item that the text of a run belongs to, or nil. The text of a run that outlived its job belongs to the item of
-// that name in a later job of the tenant, so that a change of coordinator does not restart carried-over texts.
+// reportedItem returns the item that a run's text belongs to, or nil. A run that outlived its job belongs to the item of that name in a later job of
+// the tenant, so that a change of coordinator does not restart carried-over texts.
 func (r *Runner) reportedItem(report *itemwork.Report) *item {
 	if j, ok := r.jobs[report.Job]; ok && !j.ended {
 		return j.byID[report.Item]
--- a/internal/batchrun/residency.go
+++ b/internal/batchrun/residency.go
@@ -48,8 +48,7 @@
 		"allowed", fmt.Sprint(jobresidency.Whole(view.Routes, j).Sets()))
 }
 
-// loadWithheld loads jobs that were withheld at the start of the term, once a later route table allows it. It returns when none is left or
-// ctx ends.
+// loadWithheld loads jobs that were withheld at the start of the term, once a later route table allows it. It returns when none is left or ctx ends.
 func (r *Runner) loadWithheld(ctx context.Context, withheld []batch.Job) {
 	for ctx.Err() == nil && len(withheld) > 0 {
 		_, changed := r.State.Changed()
@@ -95,9 +94,8 @@
 	return false
 }
 
-// dispatch assigns a run to a worker near the engine, or to this process if there is none and the residency allows it. It returns false if
-// neither may execute the run. The desk has no workers once the term has ended; the run is then left to the next term instead of being sent
-// twice. The mutex must be held.
+// dispatch assigns a run to a worker near the engine, or to this process if there is none and the residency allows it; false if neither may execute
+// it. Once the term has ended the desk has no workers, and the run is left to the next term instead of being sent twice. The mutex must be held.
 func (r *Runner) dispatch(newRun *run, engine *fleet.Engine, assignment *itemwork.Assignment) bool {
 	residency := r.runResidency(newRun.item)
 	if r.Desk != nil {
--- a/internal/batchrun/retention.go
+++ b/internal/batchrun/retention.go
@@ -18,12 +18,11 @@
 	DefaultRetention = 2 * time.Minute
 	// retentionInterval is the delay between two scans for expired jobs.
 	retentionInterval = 10 * time.Second
-	// removeTimeout bounds the removal of one job.
-	removeTimeout = 10 * time.Second
+	removeTimeout     = 10 * time.Second
 )
 
-// enforceRetention removes expired jobs from memory and from the store until ctx ends. For jobs that ended in an earlier term, whose end
-// time is unknown, retention counts from the start of this term.
+// enforceRetention removes expired jobs from memory and from the store until ctx ends. For jobs that ended in an earlier term, whose end time is
+// unknown, retention counts from the start of this term.
 func (r *Runner) enforceRetention(ctx context.Context) {
 	for ctx.Err() == nil {
 		pause.For(ctx, retentionInterval)
@@ -51,8 +50,8 @@
 	return ids
 }
 
-// recordEnd records the durable end of a job, and evicts the oldest ended jobs from memory while their results exceed MaxEndedBytes. The
-// mutex must be held.
+// recordEnd records the durable end of a job, and evicts the oldest ended jobs from memory while their results exceed MaxEndedBytes. The mutex must
+// be held.
 func (r *Runner) recordEnd(j *job) {
 	if _, known := r.endedAt[j.ID]; !known {
 		r.endedAt[j.ID] = r.now()
@@ -75,7 +74,6 @@
 	r.endedBytes -= j.resultBytes()
 }
 
-// resultBytes returns the size of the texts of a job's results.
 func (j *job) resultBytes() int {
 	size := 0
 	for _, result := range j.listed {
--- a/internal/batchrun/reuse.go
+++ b/internal/batchrun/reuse.go
@@ -45,8 +45,8 @@
 	return j.Tenant == other.Tenant && j.Model == other.Model && j.Step < other.Step && j.Step >= other.Step-steps
 }
 
-// hasEarlierJobs reports whether this process has the items of all jobs from which groups may be carried over into a job. It lacks those
-// that ended in an earlier term.
+// hasEarlierJobs reports whether this process has the items of all jobs from which groups may be carried over into a job. It lacks those that ended
+// in an earlier term.
 func (r *Runner) hasEarlierJobs(j *job) bool {
 	missing := min(j.Step, stepsAhead)
 	for _, known := range r.order {
--- a/internal/batchrun/run.go
+++ b/internal/batchrun/run.go
@@ -13,12 +13,11 @@
 )
 
 const (
-	// retryDelay is the delay before a failed item is tried again.
 	retryDelay = 50 * time.Millisecond
 	// adoptionWait is how long items of an earlier term wait for workers that still run them to report.
 	adoptionWait = 400 * time.Millisecond
-	// withheldRetryDelay is the delay before an item is placed again after a worker's placement filter withheld it. It gives this process
-	// time to learn what the worker knows, instead of choosing the same engine again.
+	// withheldRetryDelay is the delay before an item that a worker's placement filter withheld is placed again. Until this process learns what the
+	// worker knows, it may choose the same engine again.
 	withheldRetryDelay = 250 * time.Millisecond
 	// lostVerdict is the verdict in logs and metrics of runs whose worker no longer reports.
 	lostVerdict = "lost"
@@ -160,8 +159,8 @@
 	})
 }
 
-// startRewardCall makes the reward call of an item whose text is complete, or lists the result if the item has none. If the item's
-// residency excludes this process's region, a worker makes the call; without such a worker the item waits. The mutex must be held.
+// startRewardCall makes the reward call of an item whose text is complete, or lists the result if the item has none. The call needs a process in a
+// region that the item's residency allows; without one the item waits. The mutex must be held.
 func (r *Runner) startRewardCall(it *item) {
 	it.phase = phaseScoring
 	if it.Reward == nil {
--- a/internal/batchrun/runner.go
+++ b/internal/batchrun/runner.go
@@ -1,6 +1,5 @@
-// Package batchrun runs batch jobs: it places their items on engines, resumes broken streams, requests rewards for complete texts and lists
-// results once they are durable. One process at a time runs the jobs of a deployment. It dispatches runs to the workers of its desk
-// (package itemwork), or executes them itself.
+// Package batchrun runs batch jobs: it places items on engines, resumes broken streams, requests rewards and lists durable results. One process at a
+// time runs the jobs of a deployment, and dispatches runs to workers (package itemwork) or executes them itself.
 package batchrun
 
 import (
@@ -24,13 +23,12 @@
 	// acceptTimeout bounds the time to store a new job.
 	acceptTimeout = 3500 * time.Millisecond
 	// endTimeout bounds the time to store the end of a job.
-	endTimeout = 3500 * time.Millisecond
-	// findTimeout bounds the lookup of a job that is not in memory.
+	endTimeout  = 3500 * time.Millisecond
 	findTimeout = time.Second
 	// maxReadBytes bounds one read. Its encoded reply may take 1 MB.
 	maxReadBytes = 600 << 10
-	// maxRereadBytes bounds a read of results that were returned before the furthest read. Callers usually have those already, and traffic
-	// between zones is expensive.
+	// maxRereadBytes bounds a read of results that were returned before the furthest read. Callers usually have those already, and traffic between
+	// zones is expensive.
 	maxRereadBytes = 128 << 10
 	// resultOverhead is the assumed size of a result beyond its text, in bytes.
 	resultOverhead = 256
@@ -54,16 +52,14 @@
 	Quota Quota
 	// Desk dispatches runs to workers; nil if this process executes all of them.
 	Desk *itemwork.Desk
-	// EvacuateTime is how soon after the acknowledgement of its evacuation a zone receives no more requests; zero if zones are not
-	// evacuated.
+	// EvacuateTime is how soon after the acknowledgement of its evacuation a zone receives no more requests; zero if zones are not evacuated.
 	EvacuateTime time.Duration
 	// Retention is how long a job is kept after its end; zero means DefaultRetention.
 	Retention time.Duration
-	// MaxEndedBytes bounds the results of ended jobs in memory; other results are read from the store on demand. Zero means
-	// DefaultMaxEndedBytes.
+	// MaxEndedBytes bounds the results of ended jobs in memory; other results are read from the store on demand. Zero means DefaultMaxEndedBytes.
 	MaxEndedBytes int
-	// TextFolder is the directory for checkpoints of unfinished texts; empty disables them. They take up to TextLimit bytes, and twice that
-	// during a rewrite.
+	// TextFolder is the directory for checkpoints of unfinished texts; empty disables them. They take up to TextLimit bytes, and twice that during a
+	// rewrite.
 	TextFolder string
 	TextLimit  int64
 	// Observer may be nil.
@@ -81,12 +77,10 @@
 	// token is the fencing token of the term.
 	token int64
 	// runs holds the runs of open jobs, and those of ended jobs that are still streaming.
-	runs map[itemwork.RunID]*run
-	// runCount is the number of runs created in this term.
+	runs     map[itemwork.RunID]*run
 	runCount uint64
 	// term is the context of the current term; nil while this process does not lead.
-	term context.Context
-	// endTerm cancels term.
+	term    context.Context
 	endTerm context.CancelFunc
 	log     *batchlog.Store
 	jobs    map[string]*job
@@ -94,18 +88,14 @@
 	engines map[string]*engineRecord
 	// promptHolders lists the engines that were recently sent a shared prompt, by the prompt's ID.
 	promptHolders map[string][]string
-	// lengths predicts text lengths.
-	lengths *lengthModel
-	// fleetInterval is the average interval between two events over all engines.
+	lengths       *lengthModel
 	fleetInterval fleetInterval
 	// detached holds the runs that continue after the end of their jobs, by text key.
 	detached map[string]*run
 	// carryOverOffsets is, by model, by how much the required weight version last rose for items carried over into a later job.
 	carryOverOffsets map[string]int64
-	// subsets holds the engines among which items are placed.
-	subsets engineSubsets
-	// draining holds the evacuated zones in which runs are ended.
-	draining drainingZones
+	subsets          engineSubsets
+	draining         drainingZones
 	// unfinished holds the texts that ended jobs left for later jobs.
 	unfinished *unfinishedTexts
 	// endedAt holds when this process learned of the durable end of each job.
--- a/internal/batchrun/subset.go
+++ b/internal/batchrun/subset.go
@@ -10,16 +10,15 @@
 )
 
 const (
-	// minSubsetSize is the minimum number of engines considered for the items of one model. The number of open items is added, so that each
-	// can have an engine of its own. Services of up to twice that size are considered whole.
+	// minSubsetSize is the minimum number of engines considered for the items of one model, in addition to one per open item. Services of up to twice
+	// that sum are considered whole.
 	minSubsetSize = 256
 	// widenInterval is the minimum delay between two scans of all engines of a service for items that no engine in the subset can take.
 	widenInterval = 500 * time.Millisecond
 )
 
-// engineSubsets holds a subset of each large service's engines per pool, so that a scheduling pass costs what its items need rather than
-// what the service has. Engines with the newest weights come first; a hash selects among equal weights and keeps the selection stable while
-// the engine list changes. The runner's mutex guards it.
+// engineSubsets holds a subset of each large service's engines per pool, which bounds the cost of a scheduling pass. Engines with the newest weights
+// come first; among equal weights a hash keeps the selection stable while the engine list changes. The runner's mutex guards it.
 type engineSubsets struct {
 	view   *fleet.View
 	byPool map[poolKey]*engineSubset
@@ -27,7 +26,6 @@
 	widenedAt map[poolKey]time.Time
 }
 
-// engineSubset holds the engines considered for one pool.
 type engineSubset struct {
 	engines []*fleet.Engine
 	ids     map[string]struct{}
@@ -45,8 +43,7 @@
 	s.engines = append(s.engines, engine)
 }
 
-// subsetFor returns the engines considered for a pool out of all permitted ones. complete is true if that is all of them. The mutex must be
-// held.
+// subsetFor returns the engines considered for a pool out of all permitted ones. complete is true if that is all of them. The mutex must be held.
 func (r *Runner) subsetFor(view *fleet.View, key poolKey, permitted []*fleet.Engine) (chosen []*fleet.Engine, complete bool) {
 	size := minSubsetSize + r.openItemsOf(key.model)
 	if len(permitted) <= 2*size {
@@ -90,8 +87,7 @@
 	return set
 }
 
-// subsetCutoff returns the oldest version in a subset and the share of its engines that is selected. All engines of newer versions are
-// selected.
+// subsetCutoff returns the oldest version in a subset and the share of its engines that is selected. All engines of newer versions are selected.
 func subsetCutoff(counts map[int64]int, size int) (oldest int64, share float64) {
 	versions := slices.Sorted(maps.Keys(counts))
 	for _, version := range slices.Backward(versions) {
--- a/internal/batchrun/unfinished.go
+++ b/internal/batchrun/unfinished.go
@@ -47,8 +47,7 @@
 	}
 }
 
-// dropOutdated drops the texts of a model that contain weights older than a version. Later jobs require no older version than the newest
-// job does.
+// dropOutdated drops the texts of a model that contain weights older than a version. Later jobs require no older version than the newest job does.
 func (u *unfinishedTexts) dropOutdated(model string, version int64) {
 	var outdated []string
 	u.each(func(kept *unfinishedText) {
