--- a/internal/batchrun/batchrun_test.go
+++ b/internal/batchrun/batchrun_test.go
@@ -146,12 +146,12 @@
 		So(h.runner.End(context.Background(), batch.Ref{ID: "job"}), ShouldBeNil)
 		So(h.runner.End(context.Background(), batch.Ref{ID: "job"}), ShouldBeNil)
 		synctest.Wait()
-		begun := h.engines.count()
+		started := h.engines.count()
 		for _, r := range h.engines.executionsOf("job-0") {
 			So(r.ended, ShouldNotEqual, time.Time{})
 		}
 		time.Sleep(10 * time.Second)
-		So(h.engines.count(), ShouldEqual, begun)
+		So(h.engines.count(), ShouldEqual, started)
 		reading, err := h.runner.Read(context.Background(), batch.Ref{ID: "job"}, 0, 0)
 		So(err, ShouldBeNil)
 		So(reading.Total, ShouldEqual, 4)
--- a/internal/batchrun/cold_test.go
+++ b/internal/batchrun/cold_test.go
@@ -48,21 +48,21 @@
 func (e *fakeEngines) peakRate(engine string, until time.Time) (worst, all int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	var begun []time.Time
+	var started []time.Time
 	for _, r := range e.executions {
 		if r.engine == engine && r.at.Before(until) {
-			begun = append(begun, r.at)
+			started = append(started, r.at)
 		}
 	}
-	slices.SortFunc(begun, time.Time.Compare)
+	slices.SortFunc(started, time.Time.Compare)
 	first := 0
-	for i, at := range begun {
-		for at.Sub(begun[first]) > time.Second {
+	for i, at := range started {
+		for at.Sub(started[first]) > time.Second {
 			first++
 		}
 		worst = max(worst, i-first+1)
 	}
-	return worst, len(begun)
+	return worst, len(started)
 }
 
 func runColdScenario(t *testing.T, name string, scenario func(h *workerHarness, ctx context.Context)) {
--- a/internal/batchrun/paths_test.go
+++ b/internal/batchrun/paths_test.go
@@ -315,7 +315,7 @@
 		synctest.Wait()
 		h.change(t, zones)
 		for i, state := range h.states {
-			if rapid.IntRange(0, 2).Draw(t, fmt.Sprintf("told %d", i)) > 0 {
+			if rapid.IntRange(0, 2).Draw(t, fmt.Sprintf("update %d", i)) > 0 {
 				h.applyTo(state)
 			}
 		}
--- a/internal/batchrun/tenant_test.go
+++ b/internal/batchrun/tenant_test.go
@@ -59,14 +59,14 @@
 		time.Sleep(300 * time.Millisecond)
 		runs := h.engines.executionsOf("job-0")
 		So(runs[len(runs)-1].resumed, ShouldBeFalse)
-		begun := len(runs)
+		started := len(runs)
 		So(h.runner.Submit(ctx, again("own", "alpha")), ShouldBeNil)
 		time.Sleep(10 * time.Second)
 		reading, err := h.runner.Read(ctx, batch.Ref{ID: "own", Tenant: "alpha"}, 0, 0)
 		So(err, ShouldBeNil)
 		So(reading.Results, ShouldHaveLength, 1)
 		So(reading.Results[0].Text, ShouldEqual, h.completeText())
-		for _, run := range h.engines.executionsOf("job-0")[begun:] {
+		for _, run := range h.engines.executionsOf("job-0")[started:] {
 			So(run.resumed, ShouldBeTrue)
 		}
 	})
