--- a/internal/fleetnode/duties.go
+++ b/internal/fleetnode/duties.go
@@ -118,7 +118,7 @@
 	if meter == nil {
 		return
 	}
-	forwarder.Began = meter.Began
+	forwarder.OnExecution = meter.Began
 	teller := usage.NewTeller(usage.TellerParams{
 		Meter:       meter,
 		Clock:       clock,
--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -77,17 +77,17 @@
 	}
 }
 
-// reportExecution calls Began if an engine ran or may have run the request; for a stream, at its first byte.
+// reportExecution calls OnExecution if an engine ran or may have run the request; for a stream, at its first byte.
 func (j *job) reportExecution(result *Result) {
-	if j.Began == nil || j.request.Tenant == "" || j.executedAt.IsZero() {
+	if j.OnExecution == nil || j.request.Tenant == "" || j.executedAt.IsZero() {
 		return
 	}
 	if result.Stream == nil {
-		j.Began(j.request.Tenant, j.executedAt)
+		j.OnExecution(j.request.Tenant, j.executedAt)
 		return
 	}
 	tenant := j.request.Tenant
-	result.Stream = &firstByteBody{ReadCloser: result.Stream, onFirstByte: func() { j.Began(tenant, boottime.Now()) }}
+	result.Stream = &firstByteBody{ReadCloser: result.Stream, onFirstByte: func() { j.OnExecution(tenant, boottime.Now()) }}
 }
 
 // firstByteBody calls onFirstByte when the first byte is read.
--- a/internal/forward/forwarder.go
+++ b/internal/forward/forwarder.go
@@ -129,9 +129,9 @@
 	Observer Observer
 	// LoadObserver may be nil. It must be set before the first request.
 	LoadObserver LoadObserver
-	// Began, if not nil, is called once for each tenant's request that an engine ran or may have run, with the boottime of the send; for a
+	// OnExecution, if not nil, is called once for each tenant's request that an engine ran or may have run, with the boottime of the send; for a
 	// stream, that of its first byte. It must be set before the first request.
-	Began func(tenant string, at time.Time)
+	OnExecution func(tenant string, at time.Time)
 	// Guard refuses requests that crash engines; nil admits all. It must be set before the first request.
 	Guard *quarantine.Guard
 	// Quota grants sends to cold engines; nil if no engine is ever cold. It must be set before the first request.
