--- a/internal/forward/decision.go
+++ b/internal/forward/decision.go
@@ -89,7 +89,7 @@
 // maySkipQueue reports whether the request may be sent without queueing. If the load is not normal, only the first send of an interactive request
 // may, one without its own queue timeout; it also serves as a probe.
 func (j *job) maySkipQueue(load Load) bool {
-	return load == LoadNormal || (!j.isRetry() && j.request.Patience == 0)
+	return load == LoadNormal || (!j.isRetry() && j.request.QueueTimeout == 0)
 }
 
 // isRetry reports whether the next send is a retry.
@@ -137,7 +137,7 @@
 	if !boottime.Now().Before(j.queueDeadline) {
 		return decision{refusal: j.notAcceptedReason()}
 	}
-	if len(warm) > 0 && len(cold) == 0 && j.request.Patience == 0 && j.waiting.expectedWait(j.service, j.rank) > boottime.Until(j.queueDeadline) {
+	if len(warm) > 0 && len(cold) == 0 && j.request.QueueTimeout == 0 && j.waiting.expectedWait(j.service, j.rank) > boottime.Until(j.queueDeadline) {
 		if j.LoadObserver != nil {
 			j.LoadObserver.RefusedAtOnce(j.service)
 		}
@@ -155,7 +155,7 @@
 
 // waitForCapacity waits in the service's queue.
 func (j *job) waitForCapacity(ctx context.Context, warm []*fleet.Engine) decision {
-	if len(warm) == 0 && j.request.Patience == 0 {
+	if len(warm) == 0 && j.request.QueueTimeout == 0 {
 		return decision{refusal: j.notAcceptedReason()}
 	}
 	if !j.waiting.wait(ctx, j.service, j.newWaiter(j.isRetry()), j.queueDeadline) {
@@ -170,7 +170,7 @@
 	if arrived.IsZero() {
 		arrived = j.started
 	}
-	return &waiter{rank: j.rank, arrived: arrived, retry: retry, hasQueueTimeout: j.request.Patience > 0}
+	return &waiter{rank: j.rank, arrived: arrived, retry: retry, hasQueueTimeout: j.request.QueueTimeout > 0}
 }
 
 // waitForCapacityOrGrant waits for capacity of a warm engine or for a grant of a cold one, whichever comes first. If the send is a retry, the
@@ -181,7 +181,7 @@
 			return j.sendGranted(ctx, granted)
 		}
 		j.returnRetry()
-		if j.request.Patience == 0 {
+		if j.request.QueueTimeout == 0 {
 			return decision{refusal: ReasonEnginesCold}
 		}
 		j.waiting.noCapacity(j.service)
--- a/internal/forward/decision_test.go
+++ b/internal/forward/decision_test.go
@@ -119,7 +119,7 @@
 		b.do(t.Context(), Request{ID: "lookup"}, time.Second)
 		time.AfterFunc(1500*time.Millisecond, func() { b.setAction("a", nil) })
 		before := b.sent()
-		result := b.do(t.Context(), Request{ID: "reward", Patience: 10 * time.Second}, 12*time.Second)
+		result := b.do(t.Context(), Request{ID: "reward", QueueTimeout: 10 * time.Second}, 12*time.Second)
 		if result.Status != http.StatusOK {
 			t.Errorf("result %+v", result)
 		}
@@ -136,7 +136,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		var result Result
 		var waiting sync.WaitGroup
-		waiting.Go(func() { result = b.do(ctx, Request{ID: "reward", Patience: 10 * time.Second}, 12*time.Second) })
+		waiting.Go(func() { result = b.do(ctx, Request{ID: "reward", QueueTimeout: 10 * time.Second}, 12*time.Second) })
 		synctest.Wait()
 		before := b.sent()
 		cancel()
@@ -160,7 +160,7 @@
 		var result Result
 		var waiting sync.WaitGroup
 		waiting.Go(func() {
-			result = b.do(t.Context(), Request{ID: "reward", Patience: 2 * time.Second}, 2400*time.Millisecond)
+			result = b.do(t.Context(), Request{ID: "reward", QueueTimeout: 2 * time.Second}, 2400*time.Millisecond)
 		})
 		synctest.Wait()
 		before := b.sent()
@@ -179,7 +179,7 @@
 		b := newDispatchHarness(map[string]action{"a": refused}, "a")
 		b.do(t.Context(), Request{ID: "lookup"}, time.Second)
 		time.AfterFunc(time.Millisecond, func() { b.list("b"); b.setAction("a", nil) })
-		result := b.do(t.Context(), Request{ID: "reward", Patience: 2 * time.Second}, 3*time.Second)
+		result := b.do(t.Context(), Request{ID: "reward", QueueTimeout: 2 * time.Second}, 3*time.Second)
 		if string(result.Body) != "from b" {
 			t.Errorf("result %+v", result)
 		}
--- a/internal/forward/forwarder.go
+++ b/internal/forward/forwarder.go
@@ -291,8 +291,8 @@
 
 // queueTimeout returns how long the request may queue while its service is full.
 func (j *job) queueTimeout() time.Duration {
-	if j.request.Patience > 0 {
-		return j.request.Patience
+	if j.request.QueueTimeout > 0 {
+		return j.request.QueueTimeout
 	}
 	if j.route.LatencyObjective == 0 {
 		return defaultQueueTimeout
--- a/internal/forward/overload_test.go
+++ b/internal/forward/overload_test.go
@@ -89,7 +89,7 @@
 func (p *overloadRun) reward(ctx context.Context, gateway *Forwarder) {
 	arrived := time.Now()
 	answered := false
-	request := &Request{ID: "r", Method: http.MethodPost, Host: "h", Target: "/reward", Patience: 2750 * time.Millisecond, Arrived: boottime.Now()}
+	request := &Request{ID: "r", Method: http.MethodPost, Host: "h", Target: "/reward", QueueTimeout: 2750 * time.Millisecond, Arrived: boottime.Now()}
 	for !answered && time.Since(arrived) < rewardGiveUp {
 		result := gateway.Do(ctx, gateway.state.View().Routes.Match("h", "/reward"), request, boottime.Now().Add(3*time.Second))
 		answered = result.Outcome == Completed && result.Status == http.StatusOK
--- a/internal/forward/transport.go
+++ b/internal/forward/transport.go
@@ -27,9 +27,9 @@
 	Body   []byte
 	// Tenant is the tenant of the request; empty for none. It is passed to the engine and overrides the header.
 	Tenant string
-	// Patience is how long the request may queue for a full service; zero for the default of interactive requests, queueTimeoutShare of the
+	// QueueTimeout is how long the request may queue for a full service; zero for the default of interactive requests, queueTimeoutShare of the
 	// route's latency objective.
-	Patience time.Duration
+	QueueTimeout time.Duration
 	// Arrived is the boottime of the caller's first attempt, which orders queued requests of one rank; zero for now.
 	Arrived time.Time
 	// Repeated is true if an earlier call of Do sent the request to an engine: all its sends count as retries.
--- a/internal/itemwork/executor.go
+++ b/internal/itemwork/executor.go
@@ -295,9 +295,9 @@
 			Body:   reward.Body,
 			// Waits in the forwarder's queue while the service is at capacity; Arrived keeps the place in the queue over retries. Reserves
 			// minRewardCallTime for the call itself.
-			Patience: max(boottime.Until(deadline)-minRewardCallTime, time.Millisecond),
-			Arrived:  arrived,
-			Repeated: sent,
+			QueueTimeout: max(boottime.Until(deadline)-minRewardCallTime, time.Millisecond),
+			Arrived:      arrived,
+			Repeated:     sent,
 		}
 		result := e.Forwarder.Do(ctx, route, request, deadline)
 		failures += result.FailedAttempts
