--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -25,7 +25,7 @@
 		}
 	}()
 	sent := boottime.Now()
-	options := SendOptions{TimeLeft: boottime.Until(j.deadline), Once: !j.route.Repeatable()}
+	options := SendOptions{TimeLeft: boottime.Until(j.deadline), NoReplay: !j.route.Repeatable()}
 	if !chosen.grantedAt.IsZero() {
 		options.LeaveBy = chosen.grantedAt.Add(GrantedSendTime)
 	}
--- a/internal/forward/forwarder_test.go
+++ b/internal/forward/forwarder_test.go
@@ -40,7 +40,7 @@
 
 func (s *scriptedTransport) Send(ctx context.Context, engine *fleet.Engine, _ *Request, options SendOptions) (*Answer, error) {
 	s.mu.Lock()
-	s.sends = append(s.sends, sentAttempt{engine: engine.ID, timeLeft: options.TimeLeft, leaveBy: options.LeaveBy, once: options.Once})
+	s.sends = append(s.sends, sentAttempt{engine: engine.ID, timeLeft: options.TimeLeft, leaveBy: options.LeaveBy, once: options.NoReplay})
 	do := s.actions[engine.ID]
 	s.mu.Unlock()
 	if do == nil {
--- a/internal/forward/transport.go
+++ b/internal/forward/transport.go
@@ -48,8 +48,8 @@
 	// LeaveBy is the boottime by which the request must leave; after it nothing is sent, and the error wraps ErrNotSent. Zero for no
 	// deadline.
 	LeaveBy time.Time
-	// Once is true if the request must not reach the engine twice: once a byte of it was sent, the transport uses no other connection.
-	Once bool
+	// NoReplay is true if the request must not reach the engine twice: once a byte of it was sent, the transport uses no other connection.
+	NoReplay bool
 	// Resume continues a stream after the event LastEventID.
 	Resume      bool
 	LastEventID int64
