--- a/internal/coldstart/replay_test.go
+++ b/internal/coldstart/replay_test.go
@@ -83,7 +83,7 @@
 	if e.rest() > 0 && r.tooMuch(e) {
 		r.falls++
 		r.crash(e)
-		return nil, forward.ErrBroken
+		return nil, forward.ErrConnectionBroken
 	}
 	if e.working >= replaySlots {
 		return &forward.Answer{Status: http.StatusServiceUnavailable, NotRun: true, Body: http.NoBody}, nil
@@ -94,7 +94,7 @@
 	time.Sleep(replayService)
 	r.mu.Lock()
 	if e.start != start || !e.up {
-		return nil, forward.ErrBroken
+		return nil, forward.ErrConnectionBroken
 	}
 	e.working--
 	return &forward.Answer{Status: http.StatusOK, Valid: true, Signature: "signed", Header: http.Header{}, Body: io.NopCloser(strings.NewReader("x"))}, nil
--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -27,7 +27,7 @@
 	defer answer.Body.Close()
 	content, err := io.ReadAll(io.LimitReader(answer.Body, maxAnswerBytes))
 	if err != nil {
-		return Result{}, errors.Join(ErrBroken, err)
+		return Result{}, errors.Join(ErrConnectionBroken, err)
 	}
 	result.Body = content
 	if !answer.NotRun && answer.Status < http.StatusInternalServerError {
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -35,7 +35,7 @@
 	}
 	took := boottime.Since(sent)
 	if err != nil {
-		attempt := lostAttempt{engine: engine, err: err, sent: sent, broke: errors.Is(err, ErrBroken) && attemptCtx.Err() == nil, repeated: triedBefore, engines: engines}
+		attempt := lostAttempt{engine: engine, err: err, sent: sent, broke: errors.Is(err, ErrConnectionBroken) && attemptCtx.Err() == nil, repeated: triedBefore, engines: engines}
 		attempt.canceled = ctx.Err() != nil || (!options.LeaveBy.IsZero() && !boottime.Now().Before(options.LeaveBy))
 		return j.handleLost(ctx, attempt)
 	}
--- a/internal/forward/crashing_test.go
+++ b/internal/forward/crashing_test.go
@@ -143,7 +143,7 @@
 	case <-timer.C:
 		return answer(http.StatusOK, "done"), nil
 	case <-alive.Done():
-		return nil, ErrBroken
+		return nil, ErrConnectionBroken
 	case <-ctx.Done():
 		return nil, ErrLost
 	}
--- a/internal/forward/overload_pool_test.go
+++ b/internal/forward/overload_pool_test.go
@@ -168,7 +168,7 @@
 	}
 	if p.overloads(engine) {
 		p.crash(engine)
-		return nil, nil, nil, ErrBroken
+		return nil, nil, nil, ErrConnectionBroken
 	}
 	tooCold := time.Now().Before(engine.coldUntil) && len(engine.arrivals) > coldRate
 	if tooCold || engine.load >= engineSlots+engineQueue {
@@ -210,7 +210,7 @@
 	case slots <- struct{}{}:
 		defer func() { <-slots }()
 	case <-alive.Done():
-		return nil, ErrBroken
+		return nil, ErrConnectionBroken
 	case <-ctx.Done():
 		return nil, ErrLost
 	}
--- a/internal/forward/quarantine_test.go
+++ b/internal/forward/quarantine_test.go
@@ -26,7 +26,7 @@
 }
 
 // breaks is the action of an engine whose connection breaks.
-func breaks(context.Context) (*Answer, error) { return nil, ErrBroken }
+func breaks(context.Context) (*Answer, error) { return nil, ErrConnectionBroken }
 
 // newGuardedForwarder returns a Forwarder to four engines with a guard that grants no trials.
 func newGuardedForwarder(engines Transport, kind routing.Kind) *Forwarder {
--- a/internal/forward/transport.go
+++ b/internal/forward/transport.go
@@ -79,11 +79,11 @@
 	ErrNotSent = errors.New("forward: request not sent to engine")
 	// ErrLost reports an attempt without a usable response: the engine may have executed the request.
 	ErrLost = errors.New("forward: no usable response from engine")
-	// ErrBroken is an ErrLost whose connection broke before the response was complete: the engine may have ended.
-	ErrBroken = fmt.Errorf("%w: connection broken before the response was complete", ErrLost)
+	// ErrConnectionBroken is an ErrLost whose connection broke before the response was complete: the engine may have ended.
+	ErrConnectionBroken = fmt.Errorf("%w: connection broken before the response was complete", ErrLost)
 )
 
-// Transport makes one attempt at an engine. Its errors wrap ErrNotSent, ErrLost or ErrBroken. The end of ctx aborts the attempt,
+// Transport makes one attempt at an engine. Its errors wrap ErrNotSent, ErrLost or ErrConnectionBroken. The end of ctx aborts the attempt,
 // the response body included.
 type Transport interface {
 	Send(ctx context.Context, engine *fleet.Engine, request *Request, options SendOptions) (*Answer, error)
--- a/internal/itemwork/executor.go
+++ b/internal/itemwork/executor.go
@@ -148,7 +148,7 @@
 	switch {
 	case verdict == VerdictWhole || verdict == VerdictImpossible:
 		e.Guard.Completed(assignment.Item, assignment.Fingerprint)
-	case errors.Is(err, forward.ErrBroken) && ctx.Err() == nil:
+	case errors.Is(err, forward.ErrConnectionBroken) && ctx.Err() == nil:
 		e.Guard.Broke(assignment.Item, assignment.Fingerprint(), assignment.engine())
 	}
 }
@@ -230,7 +230,7 @@
 			return VerdictWhole, nil
 		}
 		if err != nil {
-			return VerdictBroken, fmt.Errorf("%w: %w", forward.ErrBroken, err)
+			return VerdictBroken, fmt.Errorf("%w: %w", forward.ErrConnectionBroken, err)
 		}
 		eventTimer.Reset(eventTimeout)
 		now := time.Now()
