--- a/internal/fleetnode/metrics.go
+++ b/internal/fleetnode/metrics.go
@@ -208,7 +208,7 @@
 // requestRefused counts a caller's request that was not run, if the placement filter is the reason.
 func (m *metrics) requestRefused(reason forward.Reason) {
 	switch where := placement.Reason(reason); where {
-	case placement.EngineLeaving, placement.ZoneEvacuated, placement.EvacuationsUnknown, placement.RegionNotAllowed, placement.NoRegionAllowed:
+	case placement.EngineDraining, placement.ZoneEvacuated, placement.EvacuationsUnknown, placement.RegionNotAllowed, placement.NoRegionAllowed:
 		m.refused.WithLabelValues(strings.ReplaceAll(string(where), " ", "_")).Inc()
 	}
 }
--- a/internal/forward/forwarder.go
+++ b/internal/forward/forwarder.go
@@ -318,7 +318,7 @@
 	switch reason {
 	case ReasonNoEngine, Reason(placement.EvacuationsUnknown):
 		return emptyRetryAfter
-	case Reason(placement.EngineLeaving), Reason(placement.ZoneEvacuated), Reason(placement.RegionNotAllowed), Reason(placement.NoRegionAllowed):
+	case Reason(placement.EngineDraining), Reason(placement.ZoneEvacuated), Reason(placement.RegionNotAllowed), Reason(placement.NoRegionAllowed):
 		return closedRetryAfter
 	}
 	delay := min(max(j.waiting.expectedWait(j.service, j.rank), busyRetryAfter), closedRetryAfter)
--- a/internal/itemwork/executor.go
+++ b/internal/itemwork/executor.go
@@ -85,7 +85,7 @@
 			end.Cause = err.Error()
 		}
 		var withheld *withheldError
-		end.Withheld = errors.As(err, &withheld) && withheld.reason != placement.EngineLeaving
+		end.Withheld = errors.As(err, &withheld) && withheld.reason != placement.EngineDraining
 		callReward := sink.StreamEnded(end)
 		if verdict != VerdictWhole || !callReward {
 			return
--- a/internal/itemwork/withheld_test.go
+++ b/internal/itemwork/withheld_test.go
@@ -120,7 +120,7 @@
 			change: func(state *fleet.State) {
 				state.SetEngineList([]*fleet.Engine{{ID: "e", Service: "pool", Zone: "zone-1"}})
 			},
-			reason: placement.EngineLeaving,
+			reason: placement.EngineDraining,
 		},
 	} {
 		for _, resumed := range []bool{false, true} {
@@ -148,7 +148,7 @@
 					So(sink.end.Verdict, ShouldEqual, itemwork.VerdictRefused)
 					So(sink.end.Cause, ShouldContainSubstring, string(c.reason))
 					// A leaving engine counts as one that refused: other items should not try it.
-					So(sink.end.Withheld, ShouldEqual, c.reason != placement.EngineLeaving)
+					So(sink.end.Withheld, ShouldEqual, c.reason != placement.EngineDraining)
 				})
 			})
 		}
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -20,8 +20,8 @@
 const (
 	// Permitted means that the engine may run the request.
 	Permitted Reason = ""
-	// EngineLeaving means that the engine accepts no new work before it ends.
-	EngineLeaving Reason = "engine leaving"
+	// EngineDraining means that the engine accepts no new work before it ends.
+	EngineDraining Reason = "engine leaving"
 	// ZoneEvacuated means that operators have evacuated the engine's zone.
 	ZoneEvacuated Reason = "zone evacuated"
 	// EvacuationsUnknown means that this process has not yet received the list of evacuated zones.
@@ -118,7 +118,7 @@
 func (f Filter) Check(engine *fleet.Engine) Reason {
 	switch {
 	case !engine.Ready:
-		return EngineLeaving
+		return EngineDraining
 	case f.view.Evacuations == nil:
 		return EvacuationsUnknown
 	case f.view.Evacuations.Include(engine.Zone):
