--- a/internal/fleetnode/gateway.go
+++ b/internal/fleetnode/gateway.go
@@ -115,7 +115,7 @@
 		},
 		MayTell: func(address string, begunBy int64, residency placement.Residency) bool {
 			term := watcher.Term()
-			return !residency.Bounded() || term.Address == address && (term.Token == begunBy || residency.Allows(state.View().Topology.Region(term.Zone)))
+			return !residency.Restricted() || term.Address == address && (term.Token == begunBy || residency.Allows(state.View().Topology.Region(term.Zone)))
 		},
 		Draining: stopping.Load,
 		Called: func() bool {
--- a/internal/itemwork/dispatcher.go
+++ b/internal/itemwork/dispatcher.go
@@ -222,7 +222,7 @@
 
 // allows reports whether a residency allows the region of a worker.
 func (d *Desk) allows(residency placement.Residency, worker *workerState) bool {
-	if !residency.Bounded() {
+	if !residency.Restricted() {
 		return true
 	}
 	return d.Region != nil && residency.Allows(d.Region(worker.Zone))
--- a/internal/jobresidency/deployment_test.go
+++ b/internal/jobresidency/deployment_test.go
@@ -285,7 +285,7 @@
 		},
 		MayTell: func(address string, begunBy int64, residency placement.Residency) bool {
 			term := watcher.Term()
-			return !residency.Bounded() || term.Address == address && (term.Token == begunBy || residency.Allows(topology.Region(term.Zone)))
+			return !residency.Restricted() || term.Address == address && (term.Token == begunBy || residency.Allows(topology.Region(term.Zone)))
 		},
 		Draining: func() bool { return false },
 		Logger:   log.NewNopLogger(),
--- a/internal/jobresidency/jobresidency.go
+++ b/internal/jobresidency/jobresidency.go
@@ -22,7 +22,7 @@
 		return nil
 	}
 	bound := placement.Residency{Accepted: jobSets(table, rewardRoutes)}
-	if !bound.Bounded() {
+	if !bound.Restricted() {
 		return nil
 	}
 	regions := bound.Regions(topology)
--- a/internal/jobresidency/jobresidency_test.go
+++ b/internal/jobresidency/jobresidency_test.go
@@ -118,19 +118,19 @@
 	})
 	Convey("A job of a version that noted no bounds is bound by the table alone", t, func() {
 		So(Whole(after, newJob()).Allows("south"), ShouldBeTrue)
-		So(Whole(tableOf(nil, batchRoute("a")), newJob()).Bounded(), ShouldBeFalse)
+		So(Whole(tableOf(nil, batchRoute("a")), newJob()).Restricted(), ShouldBeFalse)
 	})
 	Convey("A reward's route binds who carries the run out, and not the engine of the item", t, func() {
 		narrow := judge
 		narrow.AllowedRegions = []string{"south"}
 		table := tableOf(nil, batchRoute("a"), narrow)
 		job := newJob()
-		So(OfItem(table, job, &job.Items[0]).Bounded(), ShouldBeFalse)
+		So(OfItem(table, job, &job.Items[0]).Restricted(), ShouldBeFalse)
 		So(OfRun(table, job, &job.Items[0]).Allows("north"), ShouldBeFalse)
 		So(OfRun(table, job, &job.Items[0]).Allows("south"), ShouldBeTrue)
 		So(OfRun(table, job, &job.Items[1]).Allows("north"), ShouldBeTrue)
 		Bind(table, job)
-		So(OfItem(nil, job, &job.Items[0]).Bounded(), ShouldBeFalse)
+		So(OfItem(nil, job, &job.Items[0]).Restricted(), ShouldBeFalse)
 		So(OfRun(nil, job, &job.Items[0]).Allows("north"), ShouldBeFalse)
 	})
 }
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -61,8 +61,8 @@
 	return key.String()
 }
 
-// Bounded reports whether the residency may exclude a region.
-func (r Residency) Bounded() bool {
+// Restricted reports whether the residency may exclude a region.
+func (r Residency) Restricted() bool {
 	return len(r.Route) > 0 || len(r.Tenant) > 0 || slices.ContainsFunc(r.Accepted, func(set []string) bool { return len(set) > 0 })
 }
 
@@ -123,7 +123,7 @@
 		return EvacuationsUnknown
 	case f.view.Evacuations.Include(engine.Zone):
 		return ZoneEvacuated
-	case f.residency.Bounded() && !f.residency.Allows(f.view.Topology.Region(engine.Zone)):
+	case f.residency.Restricted() && !f.residency.Allows(f.view.Topology.Region(engine.Zone)):
 		return RegionNotAllowed
 	}
 	return Permitted
@@ -133,7 +133,7 @@
 // The result must not be modified.
 func (f Filter) Engines(service string) []*fleet.Engine {
 	open := f.view.Open(service)
-	if !f.residency.Bounded() {
+	if !f.residency.Restricted() {
 		return open
 	}
 	permitted := make([]*fleet.Engine, 0, len(open))
@@ -147,7 +147,7 @@
 
 // Explain returns why Engines is empty for a service, or Permitted if the service has no ready engine.
 func (f Filter) Explain(service string) Reason {
-	if f.residency.Bounded() && len(f.residency.Regions(f.view.Topology)) == 0 {
+	if f.residency.Restricted() && len(f.residency.Regions(f.view.Topology)) == 0 {
 		return NoRegionAllowed
 	}
 	reason := Permitted
