--- a/internal/batchrpc/client.go
+++ b/internal/batchrpc/client.go
@@ -94,7 +94,7 @@
 		err = codeErrors[reply.Code]
 	}
 	level.Warn(c.Logger).Log("msg", "job excluded from the coordinator's region", "request", job.ID, "tenant", job.Tenant,
-		"zone", c.Leader().Zone, "allowed", fmt.Sprint(c.residency(job).Sets()), "taken_earlier", err)
+		"zone", c.Leader().Zone, "allowed", fmt.Sprint(c.residency(job).RegionSets()), "taken_earlier", err)
 	if errors.Is(err, batch.ErrNotFound) {
 		return batch.ErrExcluded
 	}
--- a/internal/batchrun/residency.go
+++ b/internal/batchrun/residency.go
@@ -45,7 +45,7 @@
 func (r *Runner) logExcluded(message string, j *batch.Job) {
 	view := r.State.View()
 	level.Warn(r.Logger).Log("msg", message, "request", j.ID, "tenant", j.Tenant, "region", view.Topology.Region(r.Zone),
-		"allowed", fmt.Sprint(jobresidency.Whole(view.Routes, j).Sets()))
+		"allowed", fmt.Sprint(jobresidency.Whole(view.Routes, j).RegionSets()))
 }
 
 // loadWithheld loads jobs that were withheld at the start of the term, once a later route table allows it. It returns when none is left or ctx ends.
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -54,7 +54,7 @@
 // its separators.
 func (r Residency) Key() string {
 	var key strings.Builder
-	for _, set := range r.Sets() {
+	for _, set := range r.RegionSets() {
 		key.WriteString(strings.Join(set, ","))
 		key.WriteByte(';')
 	}
@@ -76,8 +76,8 @@
 	return allows(r.Route, region) && allows(r.Tenant, region)
 }
 
-// Sets returns the region sets that restrict the residency. A region must be in all of them.
-func (r Residency) Sets() [][]string {
+// RegionSets returns the region sets that restrict the residency. A region must be in all of them.
+func (r Residency) RegionSets() [][]string {
 	var sets [][]string
 	for _, set := range append([][]string{r.Route, r.Tenant}, r.Accepted...) {
 		if len(set) > 0 {
