--- a/internal/batchrun/candidates.go
+++ b/internal/batchrun/candidates.go
@@ -67,7 +67,7 @@
 
 // poolOf returns the pool of an item: permitted engines with free slots in the service that its route selects.
 func (s *schedulingPass) poolOf(route *routing.Route, it *item) *pool {
-	return s.pool(route.Pick(hashFraction(it.ID)), it.job.Model, s.residencyOf(route, it))
+	return s.pool(route.PickService(hashFraction(it.ID)), it.job.Model, s.residencyOf(route, it))
 }
 
 func (s *schedulingPass) residencyOf(route *routing.Route, it *item) placement.Residency {
--- a/internal/forward/forwarder.go
+++ b/internal/forward/forwarder.go
@@ -192,7 +192,7 @@
 		Forwarder: f,
 		route:     route,
 		request:   request,
-		service:   route.Pick(rand.Float64()),
+		service:   route.PickService(rand.Float64()),
 		started:   boottime.Now(),
 		deadline:  deadline,
 		tried:     make(map[string]struct{}),
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -70,8 +70,8 @@
 	return r.Kind == KindIdempotent || (r.Kind == KindStream && r.Resumable)
 }
 
-// Pick returns the service for a request by the weights of the targets. draw is uniform in [0, 1).
-func (r *Route) Pick(draw float64) string {
+// PickService returns the service for a request by the weights of the targets. draw is uniform in [0, 1).
+func (r *Route) PickService(draw float64) string {
 	total := 0
 	for _, target := range r.Targets {
 		total += target.Weight
--- a/internal/routing/table_test.go
+++ b/internal/routing/table_test.go
@@ -31,11 +31,11 @@
 	Convey("Requests are distributed by weight, and a target without weight gets none", t, func() {
 		counts := make(map[string]int)
 		for i := range 1000 {
-			counts[route.Pick(float64(i)/1000)]++
+			counts[route.PickService(float64(i)/1000)]++
 		}
 		So(counts, ShouldResemble, map[string]int{"a": 900, "b": 100})
 	})
 	Convey("A route without targets has no service", t, func() {
-		So((&Route{}).Pick(0.5), ShouldEqual, "")
+		So((&Route{}).PickService(0.5), ShouldEqual, "")
 	})
 }
