--- a/internal/batchrun/demand.go
+++ b/internal/batchrun/demand.go
@@ -13,7 +13,7 @@
 // addSubmitted adds the items of a job to the decayed sum. The mutex must be held.
 func (r *Runner) addSubmitted(j *job) {
 	now := r.now()
-	r.submitted[j.Model] = decay.Of(r.submitted[j.Model].At(now, demandDecay)+float64(len(j.items)), now)
+	r.submitted[j.Model] = decay.New(r.submitted[j.Model].At(now, demandDecay)+float64(len(j.items)), now)
 }
 
 // Demands returns the demand for each model.
--- a/internal/decay/decay.go
+++ b/internal/decay/decay.go
@@ -12,8 +12,8 @@
 	set    time.Time
 }
 
-// Of returns a Value with the given amount at a time.
-func Of(amount float64, now time.Time) Value { return Value{amount: amount, set: now} }
+// New returns a Value with the given amount at a time.
+func New(amount float64, now time.Time) Value { return Value{amount: amount, set: now} }
 
 // At returns the remaining amount at a time. It decays to 1/e of itself within timeConstant.
 func (v Value) At(now time.Time, timeConstant time.Duration) float64 {
--- a/internal/decay/decay_test.go
+++ b/internal/decay/decay_test.go
@@ -8,7 +8,7 @@
 
 func TestValueFades(t *testing.T) {
 	now := time.Now()
-	value := Of(100, now)
+	value := New(100, now)
 	for _, c := range []struct {
 		after time.Duration
 		left  float64
--- a/internal/itemwork/share.go
+++ b/internal/itemwork/share.go
@@ -29,7 +29,7 @@
 // Share returns the share of the processes that should run items, from 0 to 1; zero means all of them.
 func (n *Need) Share(open, processes int, now time.Time) float64 {
 	peak := max(n.peak.At(now, peakDecay), float64(open))
-	n.peak = decay.Of(peak, now)
+	n.peak = decay.New(peak, now)
 	steps := math.Ceil(peak / runsPerWorker / workerStep)
 	workers := max(minWorkers, workerStep*int(steps))
 	if processes <= workers {
--- a/internal/weightorder/spare.go
+++ b/internal/weightorder/spare.go
@@ -29,7 +29,7 @@
 func (m *Manager) noteOpen(now time.Time) {
 	for model, demand := range m.demand {
 		most := max(m.open[model].At(now, openLife), float64(demand.Open), itemsShare*demand.Items)
-		m.open[model] = decay.Of(most, now)
+		m.open[model] = decay.New(most, now)
 	}
 }
 
