--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -41,7 +41,7 @@
 			So(observed, ShouldResemble, []error{ErrUnanswered})
 			second.TakeOver(context.Background())
 			So(call(first), ShouldNotBeNil)
-			So(errors.Is(call(first), permits.ErrLost), ShouldBeTrue)
+			So(errors.Is(call(first), permits.ErrSuperseded), ShouldBeTrue)
 			So(call(second), ShouldEqual, ErrWait)
 			time.Sleep(permits.Window + 2*transit)
 			So(call(second), ShouldEqual, ErrUnanswered)
--- a/internal/enginescale/manager.go
+++ b/internal/enginescale/manager.go
@@ -88,7 +88,7 @@
 	pause.For(ctx, foundTime)
 	for ctx.Err() == nil {
 		for _, order := range Plan(m.snapshot(time.Now())) {
-			if errors.Is(m.give(ctx, duties, order), permits.ErrLost) {
+			if errors.Is(m.give(ctx, duties, order), permits.ErrSuperseded) {
 				return
 			}
 		}
@@ -184,7 +184,7 @@
 			return true
 		}
 		level.Warn(m.Logger).Log("msg", "ordered engines not read", "err", err)
-		if errors.Is(err, permits.ErrLost) {
+		if errors.Is(err, permits.ErrSuperseded) {
 			return false
 		}
 		pause.For(ctx, retryPause)
@@ -207,7 +207,7 @@
 		return fmt.Errorf("enginescale: orders: %w", err)
 	}
 	if spec.Token > token {
-		return permits.ErrLost
+		return permits.ErrSuperseded
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -266,7 +266,7 @@
 		return fmt.Errorf("enginescale: orders: %w", err)
 	}
 	if spec.Token > token {
-		return permits.ErrLost
+		return permits.ErrSuperseded
 	}
 	m.revision = current.Revision
 	return nil
--- a/internal/permits/journal.go
+++ b/internal/permits/journal.go
@@ -34,8 +34,8 @@
 	retryPause = 500 * time.Millisecond
 )
 
-// ErrLost reports that a process with a later term has taken over the journal.
-var ErrLost = errors.New("permits: journal taken over by a later term")
+// ErrSuperseded reports that a process with a later term has taken over the journal.
+var ErrSuperseded = errors.New("permits: journal taken over by a later term")
 
 // Params are the parameters of a Journal.
 type Params struct {
@@ -102,7 +102,7 @@
 func (j *Journal) retention() time.Duration { return j.LeaseLength + j.handoverDelay() }
 
 // Permit records acts on subjects. It returns the subjects that may be acted on until the deadline, in boottime; the others must wait. It returns
-// ErrLost if a later term has taken over. After any error no act may be performed.
+// ErrSuperseded if a later term has taken over. After any error no act may be performed.
 func (j *Journal) Permit(ctx context.Context, subjects []string) (allowed []string, deadline time.Time, err error) {
 	ctx, cancel := context.WithTimeout(ctx, Window)
 	defer cancel()
@@ -178,7 +178,7 @@
 // TakeOver opens the journal. It retries until it succeeds, a later term has taken over, or ctx ends.
 func (j *Journal) TakeOver(ctx context.Context) {
 	for ctx.Err() == nil {
-		if _, _, err := j.Permit(ctx, nil); err == nil || errors.Is(err, ErrLost) {
+		if _, _, err := j.Permit(ctx, nil); err == nil || errors.Is(err, ErrSuperseded) {
 			return
 		}
 		pause.For(ctx, retryPause)
@@ -208,7 +208,7 @@
 		return fmt.Errorf("permits: decoding journal %s: %w", j.Name, err)
 	}
 	if spec.Token > j.Token {
-		return ErrLost
+		return ErrSuperseded
 	}
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/internal/permits/journal_test.go
+++ b/internal/permits/journal_test.go
@@ -39,7 +39,7 @@
 			So(allowed, ShouldBeEmpty)
 		}
 		_, _, err = first.Permit(ctx, []string{"d"})
-		So(errors.Is(err, ErrLost), ShouldBeTrue)
+		So(errors.Is(err, ErrSuperseded), ShouldBeTrue)
 	})
 	play("A subject waits until the recorded act of another holder has arrived, and no longer", func(store *metastoretest.Store) {
 		first := open(store, "node-1", 1)
--- a/internal/usage/keep.go
+++ b/internal/usage/keep.go
@@ -10,7 +10,7 @@
 	"github.com/covelink/covelink/internal/permits"
 )
 
-// keep writes the ledger, on the condition that nobody else has, after reading it if what the store holds is not known. ErrLost if a later
+// keep writes the ledger, on the condition that nobody else has, after reading it if what the store holds is not known. ErrSuperseded if a later
 // term has written it.
 func (r *Reporter) keep(ctx context.Context, token int64) error {
 	if !r.cell.Known() {
@@ -52,7 +52,7 @@
 	}
 	stored, writer, err := decodeLedger(content)
 	if err == nil && writer > token {
-		err = permits.ErrLost
+		err = permits.ErrSuperseded
 	}
 	if err != nil {
 		r.cell.Forget()
--- a/internal/usage/reporter.go
+++ b/internal/usage/reporter.go
@@ -148,7 +148,7 @@
 	defer r.setLeading(false)
 	var sends sync.WaitGroup
 	for ctx.Err() == nil {
-		if err := r.look(ctx, duties.Stamp.Token, began); errors.Is(err, permits.ErrLost) {
+		if err := r.look(ctx, duties.Stamp.Token, began); errors.Is(err, permits.ErrSuperseded) {
 			break
 		}
 		r.startSends(ctx, duties, &sends)
@@ -181,7 +181,7 @@
 			return true
 		}
 		level.Warn(r.Logger).Log("msg", "ledger not taken over", "token", token, "err", err)
-		if errors.Is(err, permits.ErrLost) {
+		if errors.Is(err, permits.ErrSuperseded) {
 			return false
 		}
 		pause.For(ctx, sendRetry)
@@ -272,7 +272,7 @@
 			r.noteReported(report.Window, after)
 			return
 		}
-		if errors.Is(err, permits.ErrLost) {
+		if errors.Is(err, permits.ErrSuperseded) {
 			return
 		}
 		pause.For(ctx, retryAfter(err))
