--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -110,7 +110,7 @@
 	// A lost response says nothing about the service's capacity.
 	j.waiting.end(j.service, nil)
 	if attempt.broke && !j.Guard.Broke(j.request.ID, j.fingerprint(), engine) {
-		// An immediate retry would take a request that crashes engines to the next one.
+		// Failover would take a request that crashes engines to the next engine.
 		j.noFailover = true
 	}
 	j.attemptLost = true
--- a/internal/forward/crashing_test.go
+++ b/internal/forward/crashing_test.go
@@ -31,9 +31,9 @@
 	rewardsPerSecond       = 40
 	// syncDelay is how long one gateway's findings take to reach the others.
 	syncDelay = 10 * time.Millisecond
-	// crashingTries is the number of crashing requests; one is sent every crashingPause.
-	crashingTries = 24
-	crashingPause = 500 * time.Millisecond
+	// crashingRequests is the number of crashing requests; one is sent every crashingPause.
+	crashingRequests = 24
+	crashingPause    = 500 * time.Millisecond
 )
 
 // guardMode is how gateways detect requests that crash engines.
@@ -253,7 +253,7 @@
 	running.Go(func() {
 		callEvery(ctx, time.Second/rewardsPerSecond, func(n int) { running.Go(func() { send("/reward", n, 8) }) })
 	})
-	for range crashingTries {
+	for range crashingRequests {
 		pause.For(ctx, crashingPause)
 		running.Go(func() { send("/crash", 0, 0) })
 	}
--- a/internal/forward/overload_test.go
+++ b/internal/forward/overload_test.go
@@ -19,13 +19,13 @@
 // The load on the overloaded pool, of all gateways together.
 const (
 	overloadLookups, overloadRewards = 12, 60
-	// At crashMoment engines crash, and for burstLength the load is burstFactor times as high.
-	crashMoment = 5 * time.Second
+	// At crashTime engines crash, and for burstLength the load is burstFactor times as high.
+	crashTime   = 5 * time.Second
 	burstLength = 2 * time.Second
 	burstFactor = 3
-	// overloadLength is when the last request is sent, and rewardGiveUp how long a reward call is retried.
-	overloadLength = 30 * time.Second
-	rewardGiveUp   = 30 * time.Second
+	// overloadLength is when the last request is sent, and rewardRetryTime how long a reward call is retried.
+	overloadLength  = 30 * time.Second
+	rewardRetryTime = 30 * time.Second
 	// recoveredLatency is the latency within which a recovered service responds.
 	recoveredLatency = time.Second
 	// recoverWithin is the time after the crash within which all engines may crash once in the burst, restart, warm up and serve the queued
@@ -37,8 +37,8 @@
 type overloadStats struct {
 	poolStats
 	requests int
-	// served, refused and failed count lookups; rewards and unscored count reward calls by whether they completed.
-	served, refused, failed, rewards, unscored int
+	// served, refused and failed count lookups; completedRewards and incompleteRewards count reward calls by whether they completed.
+	served, refused, failed, completedRewards, incompleteRewards int
 	// late counts the reward calls that took longer than recoveredLatency.
 	late int
 	// recovered is the time from the crash to the last request that did not complete within recoveredLatency.
@@ -63,7 +63,7 @@
 	defer p.mu.Unlock()
 	p.stats.requests++
 	count(&p.stats)
-	after := arrived.Sub(p.started) - crashMoment
+	after := arrived.Sub(p.started) - crashTime
 	if after >= 0 && (!answered || time.Since(arrived) > recoveredLatency) {
 		p.stats.recovered = max(p.stats.recovered, after)
 	}
@@ -90,7 +90,7 @@
 	arrived := time.Now()
 	answered := false
 	request := &Request{ID: "r", Method: http.MethodPost, Host: "h", Target: "/reward", QueueTimeout: 2750 * time.Millisecond, Arrived: boottime.Now()}
-	for !answered && time.Since(arrived) < rewardGiveUp {
+	for !answered && time.Since(arrived) < rewardRetryTime {
 		result := gateway.Do(ctx, gateway.state.View().Routes.Match("h", "/reward"), request, boottime.Now().Add(3*time.Second))
 		answered = result.Outcome == Completed && result.Status == http.StatusOK
 		if !answered {
@@ -100,10 +100,10 @@
 	}
 	p.record(arrived, answered, func(stats *overloadStats) {
 		if !answered {
-			stats.unscored++
+			stats.incompleteRewards++
 			return
 		}
-		stats.rewards++
+		stats.completedRewards++
 		if time.Since(arrived) > recoveredLatency {
 			stats.late++
 		}
@@ -124,7 +124,7 @@
 		p.gateways = append(p.gateways, forwarder)
 	}
 	var running sync.WaitGroup
-	time.AfterFunc(crashMoment, func() {
+	time.AfterFunc(crashTime, func() {
 		for engine := range crashed {
 			p.pool.crashNumber(engine)
 		}
@@ -134,7 +134,7 @@
 			gateway := p.gateways[random.IntN(gateways)]
 			length := time.Duration(random.ExpFloat64() * float64(time.Second) / float64(perSecond))
 			running.Go(func() { do(ctx, gateway) })
-			if after := time.Since(p.started) - crashMoment; after >= 0 && after < burstLength {
+			if after := time.Since(p.started) - crashTime; after >= 0 && after < burstLength {
 				length /= burstFactor
 			}
 			pause.For(ctx, length)
@@ -176,8 +176,8 @@
 				if stats.sendsPerRequest() > 1.2 {
 					t.Errorf("%s, seed %d: %.2f sends per request, want at most 1.2", scenario.name, seed, stats.sendsPerRequest())
 				}
-				if scenario.quota && (stats.unscored > 0 || stats.recovered > recoverWithin) {
-					t.Errorf("%s, seed %d: %d reward calls not completed, last late request %v after the crash", scenario.name, seed, stats.unscored, stats.recovered)
+				if scenario.quota && (stats.incompleteRewards > 0 || stats.recovered > recoverWithin) {
+					t.Errorf("%s, seed %d: %d reward calls not completed, last late request %v after the crash", scenario.name, seed, stats.incompleteRewards, stats.recovered)
 				}
 			})
 		}
