--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -29,7 +29,7 @@
 			var made []Stamp
 			call := func(p *Performer) error {
 				return p.Do(context.Background(), "subject", func(_ context.Context, stamp Stamp, leaveBy time.Time) error {
-					So(time.Until(leaveBy), ShouldBeBetween, 0, permits.Window+time.Nanosecond)
+					So(time.Until(leaveBy), ShouldBeBetween, 0, permits.Validity+time.Nanosecond)
 					made = append(made, stamp)
 					return ErrUnanswered
 				})
@@ -43,7 +43,7 @@
 			So(call(first), ShouldNotBeNil)
 			So(errors.Is(call(first), permits.ErrSuperseded), ShouldBeTrue)
 			So(call(second), ShouldEqual, ErrWait)
-			time.Sleep(permits.Window + 2*transit)
+			time.Sleep(permits.Validity + 2*transit)
 			So(call(second), ShouldEqual, ErrUnanswered)
 			So(made, ShouldResemble, []Stamp{first.Stamp, second.Stamp})
 			So(observed, ShouldHaveLength, 1)
--- a/internal/permits/journal.go
+++ b/internal/permits/journal.go
@@ -26,8 +26,8 @@
 const (
 	// KindJournals is the metastore kind of the journals.
 	KindJournals = "order-journals"
-	// Window is the validity of a permit, from the start of the write that grants it.
-	Window = 700 * time.Millisecond
+	// Validity is the validity of a permit, from the start of the write that grants it.
+	Validity = 700 * time.Millisecond
 	// clockMargin allows for timers that fire early or late.
 	clockMargin = 100 * time.Millisecond
 	// retryPause is the pause between two attempts to open a journal.
@@ -91,12 +91,12 @@
 
 // New returns the journal of a term. Its first permit takes the object over.
 func New(params Params) *Journal {
-	cell := metastore.NewCell(params.Store, KindJournals, params.Name, Window)
+	cell := metastore.NewCell(params.Store, KindJournals, params.Name, Validity)
 	return &Journal{Params: params, storeLock: make(chan struct{}, 1), cell: cell, acts: make(map[string]act)}
 }
 
 // handoverDelay is how long after another process's last act this one may act.
-func (j *Journal) handoverDelay() time.Duration { return Window + j.Transit + clockMargin }
+func (j *Journal) handoverDelay() time.Duration { return Validity + j.Transit + clockMargin }
 
 // retention is how long an act is kept in the journal.
 func (j *Journal) retention() time.Duration { return j.LeaseLength + j.handoverDelay() }
@@ -104,7 +104,7 @@
 // Permit records acts on subjects. It returns the subjects that may be acted on until the deadline, in boottime; the others must wait. It returns
 // ErrSuperseded if a later term has taken over. After any error no act may be performed.
 func (j *Journal) Permit(ctx context.Context, subjects []string) (allowed []string, deadline time.Time, err error) {
-	ctx, cancel := context.WithTimeout(ctx, Window)
+	ctx, cancel := context.WithTimeout(ctx, Validity)
 	defer cancel()
 	select {
 	case j.storeLock <- struct{}{}:
@@ -125,7 +125,7 @@
 	if err := j.write(ctx, started); err != nil {
 		return nil, time.Time{}, err
 	}
-	return allowed, started.Add(Window), nil
+	return allowed, started.Add(Validity), nil
 }
 
 // recordActs records acts on the subjects that need not wait, and returns these subjects.
--- a/internal/permits/journal_test.go
+++ b/internal/permits/journal_test.go
@@ -28,7 +28,7 @@
 		allowed, deadline, err := first.Permit(ctx, []string{"a", "b"})
 		So(err, ShouldBeNil)
 		So(allowed, ShouldResemble, []string{"a", "b"})
-		So(time.Until(deadline), ShouldBeLessThanOrEqualTo, Window)
+		So(time.Until(deadline), ShouldBeLessThanOrEqualTo, Validity)
 		second := open(store, "node-2", 2)
 		allowed, _, err = second.Permit(ctx, []string{"a", "c"})
 		So(err, ShouldBeNil)
@@ -54,7 +54,7 @@
 			allowed []string
 		}{
 			{0, []string{"c"}},
-			{Window + transit + clockMargin - time.Second, []string{"a", "c"}},
+			{Validity + transit + clockMargin - time.Second, []string{"a", "c"}},
 			{time.Second, []string{"a", "b", "c"}},
 		} {
 			time.Sleep(c.after)
@@ -68,7 +68,7 @@
 		begin := func(holder string, token int64) *Journal {
 			j := open(store, holder, token)
 			j.TakeOver(ctx)
-			time.Sleep(Window + transit + clockMargin)
+			time.Sleep(Validity + transit + clockMargin)
 			return j
 		}
 		permitted := func(j *Journal) []string {
@@ -81,7 +81,7 @@
 		So(permitted(begin("node-3", 3)), ShouldResemble, []string{"a"})
 		back := begin("node-2", 4)
 		So(permitted(back), ShouldBeEmpty)
-		time.Sleep(leaseLength - Window - transit)
+		time.Sleep(leaseLength - Validity - transit)
 		So(permitted(back), ShouldResemble, []string{"a"})
 	})
 	play("A holder that acts repeatedly on a subject never waits", func(store *metastoretest.Store) {
