--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -81,7 +81,6 @@
 	canceled bool
 }
 
-// handleLost handles an attempt without a usable response.
 func (j *job) handleLost(ctx context.Context, attempt lostAttempt) (Result, bool) {
 	engine, err := attempt.engine, attempt.err
 	took := boottime.Since(attempt.sent)
--- a/internal/forward/decision.go
+++ b/internal/forward/decision.go
@@ -92,10 +92,8 @@
 	return load == LoadNormal || (!j.isRetry() && j.request.QueueTimeout == 0)
 }
 
-// isRetry reports whether the next send is a retry.
 func (j *job) isRetry() bool { return j.sends > 0 || j.request.Repeated }
 
-// takeRetry reports whether the retry budget grants a retry.
 func (j *job) takeRetry() bool {
 	granted := j.budget.Take(j.service)
 	if !granted && j.LoadObserver != nil {
@@ -153,7 +151,6 @@
 	return j.waitForCapacity(ctx, warm)
 }
 
-// waitForCapacity waits in the service's queue.
 func (j *job) waitForCapacity(ctx context.Context, warm []*fleet.Engine) decision {
 	if len(warm) == 0 && j.request.QueueTimeout == 0 {
 		return decision{refusal: j.notAcceptedReason()}
@@ -226,7 +223,6 @@
 	at     time.Time
 }
 
-// acquireGrant waits for a grant of one of the cold engines.
 func (j *job) acquireGrant(ctx context.Context, cold []*fleet.Engine) grant {
 	engine := j.Quota.Acquire(ctx, cold, j.rank, j.queueDeadline)
 	return grant{engine: engine, at: boottime.Now()}
@@ -285,7 +281,6 @@
 	j.sends++
 }
 
-// endServed ends a send that an engine accepted.
 func (j *job) endServed(engine *fleet.Engine) {
 	j.waiting.end(j.service, func(load *serviceLoad, now time.Time, waiting int) bool {
 		return load.recordServed(now, engine.ID, waiting)
--- a/internal/forward/forwarder.go
+++ b/internal/forward/forwarder.go
@@ -267,12 +267,10 @@
 // mayHaveExecuted reports whether an engine may have executed the request.
 func (j *job) mayHaveExecuted() bool { return j.attemptLost || j.lastFailure != nil }
 
-// permitted returns the engines that may run the request now.
 func (j *job) permitted() []*fleet.Engine {
 	return placement.NewFilter(j.state.View(), j.residency).Engines(j.service)
 }
 
-// noEngineReason returns why no engine may run the request.
 func (j *job) noEngineReason() Reason {
 	reason := placement.NewFilter(j.state.View(), j.residency).Explain(j.service)
 	if reason == placement.Permitted {
@@ -281,7 +279,6 @@
 	return Reason(reason)
 }
 
-// notAcceptedReason returns why no engine has accepted the request.
 func (j *job) notAcceptedReason() Reason {
 	if j.unreachable {
 		return ReasonUnreachable
--- a/internal/forward/load.go
+++ b/internal/forward/load.go
@@ -175,7 +175,6 @@
 	return all, unreachable
 }
 
-// nextRefusal returns the record of an engine's new refusal, based on the last one.
 func (s *serviceLoad) nextRefusal(now time.Time, last refusal, unreachable bool) refusal {
 	if !unreachable {
 		return refusal{at: now, until: now.Add(min(max(busyBackoff, s.interval), maxBusyBackoff))}
@@ -218,7 +217,6 @@
 	return s.load == LoadNormal || float64(s.inFlight+1) <= s.limit
 }
 
-// probeDue reports whether a request may be sent as a probe.
 func (s *serviceLoad) probeDue(now time.Time) bool { return !now.Before(s.probeAt) }
 
 // recordProbe records that a probe is sent: the interval doubles up to maxProbeInterval until an engine responds.
--- a/internal/forward/overload_test.go
+++ b/internal/forward/overload_test.go
@@ -45,10 +45,8 @@
 	recovered time.Duration
 }
 
-// sendsPerRequest returns the number of sends that reached engines, per request.
 func (f *overloadStats) sendsPerRequest() float64 { return float64(f.sends) / float64(f.requests) }
 
-// overloadRun is one simulation.
 type overloadRun struct {
 	pool     *overloadPool
 	gateways []*Forwarder
--- a/internal/forward/picker.go
+++ b/internal/forward/picker.go
@@ -167,7 +167,6 @@
 	return record
 }
 
-// sweep deletes the records of unused engines.
 func (p *Picker) sweep(now time.Time) {
 	if now.Sub(p.sweptAt) < staleAfter {
 		return
--- a/internal/forward/quarantine_test.go
+++ b/internal/forward/quarantine_test.go
@@ -25,7 +25,6 @@
 	return quarantine.EngineEnded
 }
 
-// breaks is the action of an engine whose connection breaks.
 func breaks(context.Context) (*Answer, error) { return nil, ErrConnectionBroken }
 
 // newGuardedForwarder returns a Forwarder to four engines with a guard that grants no trials.
--- a/internal/forward/waiting.go
+++ b/internal/forward/waiting.go
@@ -171,7 +171,6 @@
 	}
 }
 
-// logChange logs a change of a service's load.
 func (w *waitQueues) logChange(service string, queue *serviceQueue, before Load, lasted time.Duration, now time.Time) {
 	load := queue.load
 	refusing, unreachable := load.countRefusing(now)
@@ -244,7 +243,6 @@
 	RetryRatio float64
 }
 
-// statuses returns the status of each service that requests were handled for.
 func (w *waitQueues) statuses() []ServiceStatus {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/permits/journal.go
+++ b/internal/permits/journal.go
@@ -79,7 +79,6 @@
 	Acts  map[string]actRecord `json:"orders"`
 }
 
-// actRecord is a stored act.
 type actRecord struct {
 	Holder string `json:"holder"`
 	// AgeMillis is the age of the act at the time of the write, in milliseconds. Clocks of different machines need not agree: a reader counts the
--- a/internal/permits/journal_test.go
+++ b/internal/permits/journal_test.go
@@ -116,7 +116,6 @@
 	})
 }
 
-// permitOne requests a permit for one subject.
 func (j *Journal) permitOne(ctx context.Context) ([]string, error) {
 	allowed, _, err := j.Permit(ctx, []string{"a"})
 	return allowed, err
--- a/internal/retrybudget/retrybudget.go
+++ b/internal/retrybudget/retrybudget.go
@@ -75,7 +75,6 @@
 	return true
 }
 
-// refill refills the reserve for the time since refilledAt.
 func (b *Budget) refill(counts *counts, now time.Time) {
 	back := int(now.Sub(counts.refilledAt) / b.params.RefillTime)
 	if back >= counts.reserveUsed {
--- a/internal/retrybudget/retrybudget_test.go
+++ b/internal/retrybudget/retrybudget_test.go
@@ -5,7 +5,6 @@
 	"time"
 )
 
-// clock is a clock that tests advance.
 type clock struct{ now time.Time }
 
 func newBudget() (*Budget, *clock) {
@@ -13,7 +12,6 @@
 	return New(Params{Share: 0.2, Window: 10 * time.Second, Reserve: 2, RefillTime: 20 * time.Second, Now: func() time.Time { return c.now }}), c
 }
 
-// take requests retries and returns how many were granted.
 func take(budget *Budget, asked int) int {
 	granted := 0
 	for range asked {
