--- a/internal/coldstart/bucket.go
+++ b/internal/coldstart/bucket.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Depth is the burst, in grants, of an engine's bucket: one, so that each grant more than the first costs its share of a second.
+// Depth is the burst of an engine's bucket, in grants.
 const Depth = 1.0
 
-// bucket is a token bucket of depth Depth. Its methods take the time, and the rate in grants a second, as arguments.
+// bucket is a token bucket of depth Depth. Rates are in grants per second.
 type bucket struct {
 	level float64
 	at    time.Time
 }
 
-// fill adds the tokens of the time since the last call.
+// fill adds the tokens accrued since the last call.
 func (b *bucket) fill(now time.Time, rate float64) {
 	if elapsed := now.Sub(b.at); elapsed > 0 {
 		b.level = min(Depth, b.level+elapsed.Seconds()*rate)
@@ -19,17 +19,17 @@
 	}
 }
 
-// full reports whether there is a token.
+// full reports whether a token is available.
 func (b *bucket) full(now time.Time, rate float64) bool {
 	b.fill(now, rate)
-	// A timer set to the exact moment may find a level that rounding has left just below one token.
+	// Tolerates rounding: a timer set to the exact moment may find the level just below one token.
 	return b.level >= 1-1e-6
 }
 
-// take takes one token; there must be one.
+// take removes one token, which must be available.
 func (b *bucket) take() { b.level-- }
 
-// wait returns how long it takes until there is a token.
+// wait returns the time until a token is available.
 func (b *bucket) wait(now time.Time, rate float64) time.Duration {
 	if b.full(now, rate) {
 		return 0
--- a/internal/coldstart/calls_test.go
+++ b/internal/coldstart/calls_test.go
@@ -15,13 +15,13 @@
 )
 
 func TestCalls(t *testing.T) {
-	Convey("A grant is asked for and given over a connection, and a process that does not coordinate says so", t, func() {
-		keeper := NewKeeper(KeeperParams{
+	Convey("Grants are requested over a connection, and a process that is not the coordinator says so", t, func() {
+		limiter := NewKeeper(KeeperParams{
 			Rate: func(string) float64 { return 14 }, ShownAt: boottime.Now, Logger: log.NewNopLogger(),
 			Now: boottime.Now,
 		})
 		server := rpc.NewServer(log.NewNopLogger())
-		Register(server, keeper)
+		Register(server, limiter)
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		So(err, ShouldBeNil)
 		go server.Serve(listener)
@@ -33,14 +33,14 @@
 		reply, err := Ask(context.Background(), client, listener.Addr().String(), request)
 		So(err, ShouldBeNil)
 		So(reply, ShouldResemble, Reply{})
-		keeper.begin()
-		// The quiet time of the term is long over.
-		keeper.grantsFrom = boottime.Now()
+		limiter.beginTerm()
+		// Skips the start delay of the term.
+		limiter.grantsFrom = boottime.Now()
 		answered := make(chan struct{})
 		go func() {
 			defer close(answered)
-			<-keeper.wake
-			keeper.serve()
+			<-limiter.wake
+			limiter.serve()
 		}()
 		reply, err = Ask(context.Background(), client, listener.Addr().String(), request)
 		So(err, ShouldBeNil)
--- /dev/null
+++ b/internal/coldstart/client.go
@@ -0,0 +1,174 @@
+package coldstart
+
+import (
+	"context"
+	"math/rand/v2"
+	"sync"
+	"time"
+
+	"github.com/go-kit/log"
+	"github.com/go-kit/log/level"
+
+	"github.com/covelink/covelink/internal/fleet"
+	"github.com/covelink/covelink/internal/forward"
+	"github.com/covelink/covelink/internal/routing"
+)
+
+const (
+	// maxGrantDelay is the time that a Request and its Reply may take in transit together: the part of GrantLife that the send does not need.
+	maxGrantDelay = GrantLife - forward.GrantedSendTime
+	// maxRequestEngines bounds the engines in one Request, and so its size.
+	maxRequestEngines = 16
+	// failureBackoff is how long Requests for a service and rank are suppressed after one failed, so that waiting requests do not all retry at once
+	// while there is no coordinator.
+	failureBackoff = 100 * time.Millisecond
+	// logInterval is the minimum time between two log lines about failed Requests.
+	logInterval = time.Second
+)
+
+// ClientParams are the dependencies of a Client. All but Observe are required.
+type AskerParams struct {
+	Warmth *Warmth
+	// Ask sends a Request to the coordinator.
+	Ask func(ctx context.Context, request Request) (Reply, error)
+	// Now is a clock that includes time during which the machine is suspended.
+	Now func() time.Time
+	// Observe is called with each answer, for metrics; it may be nil.
+	Observe func(answer Answer)
+	Logger  log.Logger
+}
+
+// Answer is the outcome of a request for a grant. Its value is a metric label.
+type Answer string
+
+// The answers.
+const (
+	// AnswerGranted: the request may be sent.
+	AnswerGranted Answer = "granted"
+	// AnswerRefused: there was no grant in time; the request was not sent.
+	AnswerRefused Answer = "refused"
+	// AnswerLate: the grant expired before it could be used; the request was not sent.
+	AnswerLate Answer = "late"
+	// AnswerSpared: the coordinator was not asked because of a recent refusal or failure, or because no time was left; the request was not sent.
+	AnswerSpared Answer = "spared"
+	// AnswerFailed: no coordinator answered, or the caller stopped waiting; the request was not sent.
+	AnswerFailed Answer = "failed"
+)
+
+// Client requests grants from the coordinator. It implements forward.Quota.
+type Asker struct {
+	AskerParams
+
+	mu sync.Mutex
+	// suppressed maps services and ranks to the moment until which no Request is sent for them.
+	suppressed map[suppressionKey]time.Time
+	lastLogged time.Time
+}
+
+type suppressionKey struct {
+	service string
+	rank    routing.Rank
+}
+
+var _ forward.Quota = (*Asker)(nil)
+
+// NewClient returns a Client.
+func NewAsker(params AskerParams) *Asker {
+	return &Asker{AskerParams: params, suppressed: make(map[suppressionKey]time.Time)}
+}
+
+// Cold implements forward.Quota.
+func (a *Asker) Cold(engine *fleet.Engine) bool { return a.Warmth.Cold(engine) }
+
+// Acquire implements forward.Quota.
+func (a *Asker) Acquire(ctx context.Context, engines []*fleet.Engine, rank routing.Rank, until time.Time) *fleet.Engine {
+	if len(engines) == 0 {
+		return nil
+	}
+	engine, answer := a.acquire(ctx, engines, rank, until)
+	if a.Observe != nil {
+		a.Observe(answer)
+	}
+	return engine
+}
+
+func (a *Asker) acquire(ctx context.Context, engines []*fleet.Engine, rank routing.Rank, until time.Time) (*fleet.Engine, Answer) {
+	requested := a.Now()
+	key := suppressionKey{service: engines[0].Service, rank: rank}
+	request := Request{Service: key.service, Rank: rank, Wait: until.Sub(requested)}
+	if request.Wait < 0 || a.isSuppressed(key, requested) {
+		return nil, AnswerSpared
+	}
+	byID := sample(engines)
+	for id := range byID {
+		request.Engines = append(request.Engines, id)
+	}
+	askCtx, cancel := context.WithTimeout(ctx, request.Wait+maxGrantDelay)
+	defer cancel()
+	reply, err := a.Ask(askCtx, request)
+	now := a.Now()
+	switch {
+	case err != nil || !reply.Leading:
+		if ctx.Err() == nil {
+			a.logFailed(key.service, now, err)
+		}
+		if askCtx.Err() == nil {
+			// Without the backoff, waiting requests would retry at once; one whose time is up does not retry.
+			a.suppress(key, now, failureBackoff)
+		}
+		return nil, AnswerFailed
+	case reply.Engine == "":
+		a.suppress(key, now, reply.RetryAfter)
+		return nil, AnswerRefused
+	case reply.late(now.Sub(requested)):
+		return nil, AnswerLate
+	}
+	return byID[reply.Engine], AnswerGranted
+}
+
+// late reports whether a grant has expired, given the time since it was requested: the Reply was delayed or this process was suspended, and the
+// Limiter may have granted more sends since.
+func (r Reply) late(took time.Duration) bool { return took > r.Held+maxGrantDelay }
+
+// sample returns up to maxRequestEngines of the engines by ID, starting at a random one.
+func sample(engines []*fleet.Engine) map[string]*fleet.Engine {
+	first := rand.IntN(len(engines))
+	found := make(map[string]*fleet.Engine, min(len(engines), maxRequestEngines))
+	for i := range min(len(engines), maxRequestEngines) {
+		engine := engines[(first+i)%len(engines)]
+		found[engine.ID] = engine
+	}
+	return found
+}
+
+// isSuppressed reports whether Requests are suppressed now.
+func (a *Asker) isSuppressed(key suppressionKey, now time.Time) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return now.Before(a.suppressed[key])
+}
+
+// suppress suppresses Requests for a service and rank for a time.
+func (a *Asker) suppress(key suppressionKey, now time.Time, length time.Duration) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	for known, until := range a.suppressed {
+		if !now.Before(until) {
+			delete(a.suppressed, known)
+		}
+	}
+	a.suppressed[key] = now.Add(length)
+}
+
+// logFailed logs a failed Request, at most once per logInterval.
+func (a *Asker) logFailed(service string, now time.Time, err error) {
+	a.mu.Lock()
+	due := now.Sub(a.lastLogged) >= logInterval
+	if due {
+		a.lastLogged = now
+	}
+	a.mu.Unlock()
+	if due {
+		level.Info(a.Logger).Log("msg", "request for a cold-start grant failed", "service", service, "err", err)
+	}
+}
--- a/internal/coldstart/keeper_test.go
+++ b/internal/coldstart/limiter_test.go
@@ -17,13 +17,13 @@
 	"github.com/covelink/covelink/internal/routing"
 )
 
-// playKeeper plays a scene with a keeper that leads, in virtual time. shown moves the moment at which the store last showed the lease.
-func playKeeper(t *testing.T, name string, rate float64, play func(k *Keeper, shown *time.Time)) {
+// runLimiter runs a scenario with a leading limiter in virtual time. shown sets when the store last confirmed the lease.
+func runLimiter(t *testing.T, name string, rate float64, play func(k *Keeper, shown *time.Time)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		Convey(name, t, func() {
 			var shown time.Time
-			keeper := NewKeeper(KeeperParams{
+			limiter := NewKeeper(KeeperParams{
 				Rate: func(string) float64 { return rate },
 				ShownAt: func() time.Time {
 					if shown.IsZero() {
@@ -36,9 +36,9 @@
 			})
 			ctx, cancel := context.WithCancel(t.Context())
 			var leading sync.WaitGroup
-			leading.Go(func() { keeper.Lead(ctx) })
+			leading.Go(func() { limiter.Lead(ctx) })
 			synctest.Wait()
-			play(keeper, &shown)
+			play(limiter, &shown)
 			cancel()
 			leading.Wait()
 		})
@@ -49,20 +49,20 @@
 	return Request{Service: "s", Engines: []string{"a"}, Wait: wait}
 }
 
-func TestKeeper(t *testing.T) {
+func TestLimiter(t *testing.T) {
 	ctx := context.Background()
-	playKeeper(t, "A new term gives no grant until those of the former are over", 10, func(k *Keeper, _ *time.Time) {
+	runLimiter(t, "A new term gives no grant until those of the former term have expired", 10, func(k *Keeper, _ *time.Time) {
 		began := boottime.Now()
 		So(k.Ask(ctx, oneRequest(100*time.Millisecond)).Engine, ShouldBeEmpty)
 		So(boottime.Since(began), ShouldBeZeroValue)
 		So(k.Take("s", "a", routing.Rank{}), ShouldBeFalse)
 		reply := k.Ask(ctx, oneRequest(3*time.Second))
 		So(reply.Engine, ShouldEqual, "a")
-		So(boottime.Since(began), ShouldEqual, quietTime)
-		So(reply.Held, ShouldEqual, quietTime)
+		So(boottime.Since(began), ShouldEqual, termStartDelay)
+		So(reply.Held, ShouldEqual, termStartDelay)
 	})
-	playKeeper(t, "Grants follow each other at the rate, the most urgent question first and those of one rank in their order", 10, func(k *Keeper, _ *time.Time) {
-		time.Sleep(quietTime)
+	runLimiter(t, "Grants are given at the rate, by urgency and then in order of arrival", 10, func(k *Keeper, _ *time.Time) {
+		time.Sleep(termStartDelay)
 		So(k.Take("s", "a", routing.Rank{}), ShouldBeTrue)
 		var mu sync.Mutex
 		var order []int
@@ -86,8 +86,8 @@
 		So(order, ShouldResemble, []int{3, 1, 2, 0})
 		So(boottime.Since(began), ShouldBeBetween, 399*time.Millisecond, 410*time.Millisecond)
 	})
-	playKeeper(t, "A question that cannot be granted in time is refused at once, and one whose asker has gone takes no grant", 2, func(k *Keeper, _ *time.Time) {
-		time.Sleep(quietTime)
+	runLimiter(t, "A request that cannot be granted in time is refused at once, and one whose caller has disconnected takes no grant", 2, func(k *Keeper, _ *time.Time) {
+		time.Sleep(termStartDelay)
 		So(k.Take("s", "a", routing.Rank{}), ShouldBeTrue)
 		began := boottime.Now()
 		So(k.Ask(ctx, oneRequest(400*time.Millisecond)).RetryAfter, ShouldBeGreaterThan, 0)
@@ -99,8 +99,8 @@
 		So(k.Waiting(), ShouldEqual, 0)
 		So(k.Take("s", "a", routing.Rank{}), ShouldBeTrue)
 	})
-	playKeeper(t, "A holder that the store has not shown its lease for a while gives fewer grants, and then none", 10, func(k *Keeper, shown *time.Time) {
-		time.Sleep(quietTime)
+	runLimiter(t, "A coordinator whose lease the store has not confirmed for a while reduces its grants, then stops them", 10, func(k *Keeper, shown *time.Time) {
+		time.Sleep(termStartDelay)
 		*shown = boottime.Now()
 		grants := func(length time.Duration) (given int) {
 			for began := boottime.Now(); boottime.Since(began) < length; time.Sleep(10 * time.Millisecond) {
@@ -111,13 +111,13 @@
 			return given
 		}
 		So(grants(time.Second), ShouldBeBetweenOrEqual, 9, 11)
-		time.Sleep(freshness - time.Second)
+		time.Sleep(leaseFreshness - time.Second)
 		k.Take("s", "a", routing.Rank{})
 		So(grants(1400*time.Millisecond), ShouldBeBetweenOrEqual, 2, 3)
 		time.Sleep(StaleLife)
 		So(grants(2*time.Second), ShouldEqual, 0)
 	})
-	playKeeper(t, "The queue is bounded", 1000, func(k *Keeper, _ *time.Time) {
+	runLimiter(t, "The queue is bounded", 1000, func(k *Keeper, _ *time.Time) {
 		var asking sync.WaitGroup
 		for range 2 * maxWaiting {
 			asking.Go(func() { k.Ask(ctx, oneRequest(10*time.Second)) })
@@ -128,30 +128,30 @@
 	})
 }
 
-func TestAsker(t *testing.T) {
+func TestClient(t *testing.T) {
 	engine := &fleet.Engine{ID: "a", Service: "s"}
 	play := func(name string, ask func(ctx context.Context, request Request) (Reply, error), check func(a *Asker, answers *[]Answer)) {
 		synctest.Test(t, func(t *testing.T) {
 			Convey(name, t, func() {
 				var answers []Answer
-				asker := NewAsker(AskerParams{
+				client := NewAsker(AskerParams{
 					Warmth: NewWarmth(fleet.NewState(), boottime.Now, log.NewNopLogger()), Ask: ask, Now: boottime.Now,
 					Observe: func(answer Answer) { answers = append(answers, answer) }, Logger: log.NewNopLogger(),
 				})
-				check(asker, &answers)
+				check(client, &answers)
 			})
 		})
 	}
 	acquire := func(a *Asker, wait time.Duration) *fleet.Engine {
 		return a.Acquire(context.Background(), []*fleet.Engine{engine}, routing.Rank{}, boottime.Now().Add(wait))
 	}
-	play("A grant is used while it lasts, counted from the question", func(context.Context, Request) (Reply, error) {
+	play("A grant is used while it is valid, counted from the request", func(context.Context, Request) (Reply, error) {
 		time.Sleep(500 * time.Millisecond)
 		return Reply{Leading: true, Engine: "a", Held: 450 * time.Millisecond}, nil
 	}, func(a *Asker, _ *[]Answer) {
 		So(acquire(a, time.Second), ShouldEqual, engine)
 	})
-	play("A grant that comes after a suspension of the machine is not used", func(context.Context, Request) (Reply, error) {
+	play("A grant that arrives after a suspension of the machine is not used", func(context.Context, Request) (Reply, error) {
 		boottime.SimulateSuspension(2 * time.Second)
 		return Reply{Leading: true, Engine: "a"}, nil
 	}, func(a *Asker, answers *[]Answer) {
@@ -159,7 +159,7 @@
 		So(*answers, ShouldResemble, []Answer{AnswerLate})
 	})
 	asked := 0
-	play("After a refusal nobody is asked until it may be granted", func(context.Context, Request) (Reply, error) {
+	play("After a refusal no request is sent until RetryAfter has elapsed", func(context.Context, Request) (Reply, error) {
 		asked++
 		return Reply{Leading: true, RetryAfter: 100 * time.Millisecond}, nil
 	}, func(a *Asker, answers *[]Answer) {
@@ -171,14 +171,14 @@
 		So(*answers, ShouldResemble, []Answer{AnswerRefused, AnswerSpared, AnswerSpared, AnswerSpared, AnswerRefused})
 	})
 	for _, left := range []bool{false, true} {
-		name := "A request that nobody answers in time is logged"
+		name := "A request that is not answered in time is logged"
 		if left {
 			name = "A request whose caller stops waiting is not logged"
 		}
 		synctest.Test(t, func(t *testing.T) {
 			Convey(name, t, func() {
 				var logged strings.Builder
-				asker := NewAsker(AskerParams{
+				client := NewAsker(AskerParams{
 					Warmth: NewWarmth(fleet.NewState(), boottime.Now, log.NewNopLogger()), Now: boottime.Now, Logger: log.NewLogfmtLogger(&logged),
 					Ask: func(ctx context.Context, _ Request) (Reply, error) {
 						<-ctx.Done()
@@ -190,17 +190,17 @@
 				if left {
 					time.AfterFunc(10*time.Millisecond, cancel)
 				}
-				So(asker.Acquire(ctx, []*fleet.Engine{engine}, routing.Rank{}, boottime.Now().Add(time.Second)), ShouldBeNil)
-				So(strings.Contains(logged.String(), "no grant for cold engines"), ShouldEqual, !left)
+				So(client.Acquire(ctx, []*fleet.Engine{engine}, routing.Rank{}, boottime.Now().Add(time.Second)), ShouldBeNil)
+				So(strings.Contains(logged.String(), "request for a cold-start grant failed"), ShouldEqual, !left)
 			})
 		})
 	}
-	play("Nothing is sent while nobody coordinates", func(context.Context, Request) (Reply, error) { return Reply{}, nil },
+	play("Nothing is sent while there is no coordinator", func(context.Context, Request) (Reply, error) { return Reply{}, nil },
 		func(a *Asker, answers *[]Answer) {
 			So(acquire(a, time.Second), ShouldBeNil)
 			So(*answers, ShouldResemble, []Answer{AnswerFailed})
 		})
-	Convey("The life of a grant covers its way back and the time in which it may be sent", t, func() {
-		So(grantReturn+forward.GrantedSendTime, ShouldEqual, GrantLife)
+	Convey("The validity of a grant covers its transit and the time in which it may be sent", t, func() {
+		So(maxGrantDelay+forward.GrantedSendTime, ShouldEqual, GrantLife)
 	})
 }
--- a/internal/coldstart/placer.go
+++ b/internal/coldstart/local_quota.go
@@ -5,7 +5,7 @@
 	"github.com/covelink/covelink/internal/routing"
 )
 
-// Placer grants sends to the items that the coordinating process places: at once or not at all.
+// LocalQuota grants sends to items that the coordinator places itself. It never waits.
 type Placer struct {
 	Warmth *Warmth
 	Keeper *Keeper
@@ -19,7 +19,7 @@
 	return p.Keeper.Free(engine.Service, engine.ID, rank)
 }
 
-// Take takes a grant for one request. It reports false if there is none now, or a Request that is as urgent waits for it.
+// Take takes a grant for one request. It returns false if none is available now or a waiting Request of at least the same urgency competes for it.
 func (p Placer) Take(engine *fleet.Engine, rank routing.Rank) bool {
 	return p.Keeper.Take(engine.Service, engine.ID, rank)
 }
--- a/internal/coldstart/replay_test.go
+++ b/internal/coldstart/replay_test.go
@@ -24,42 +24,42 @@
 )
 
 const (
-	replayEngines = 4
-	replayRate    = 3.0
-	replayCold    = 4 * time.Second
-	replayBound   = replayRate*1.5 + 5
-	// replayService is how long an engine works on a request, and replaySlots how many it works on at once.
-	replayService = 25 * time.Millisecond
-	replaySlots   = 6
-	// replayBack is how long an engine that fell over is away.
-	replayBack = time.Second
-	// replayLoad is how many requests a second all gateways together get: half of what the warm engines bear.
+	replayEngines  = 4
+	replayRate     = 3.0
+	replayColdTime = 4 * time.Second
+	replayBound    = replayRate*1.5 + 5
+	// replayServiceTime is an engine's processing time of a request, and replaySlots the number that it processes at once.
+	replayServiceTime = 25 * time.Millisecond
+	replaySlots       = 6
+	// replayDowntime is the downtime of a crashed engine.
+	replayDowntime = time.Second
+	// replayLoad is the total request rate in requests per second, half the capacity of the warm engines.
 	replayLoad   = 480
 	replayLength = 12 * time.Second
 )
 
-// coldEngine is an engine that falls over if it gets too much while it is cold.
+// coldEngine is an engine that crashes if it is overloaded while cold.
 type coldEngine struct {
-	number  int
-	start   int
-	up      bool
-	since   time.Time
-	working int
-	// arrived are the requests of this start while it was cold.
+	number int
+	start  int
+	up     bool
+	since  time.Time
+	active int
+	// arrived holds the arrival times of the last second while it was cold.
 	arrived []time.Time
 }
 
-// replay is a service whose engines all crash at once, under load.
+// replay simulates a service whose engines all crash at once under load.
 type replay struct {
 	mu      sync.Mutex
 	engines []*coldEngine
-	// falls counts starts that fell over, and worst is the most that one got in a second while it was cold.
-	falls, worst int
+	// crashes counts the crashes from overload, and worst is the maximum number of requests in a second to a cold engine.
+	crashes, worst int
 }
 
 func (e *coldEngine) id() string { return fmt.Sprintf("engine-%d-%d", e.number, e.start) }
 
-func (e *coldEngine) rest() time.Duration { return max(0, replayCold-time.Since(e.since)) }
+func (e *coldEngine) rest() time.Duration { return max(0, replayColdTime-time.Since(e.since)) }
 
 // Send implements forward.Transport.
 func (r *replay) Send(_ context.Context, engine *fleet.Engine, _ *forward.Request, options forward.SendOptions) (*forward.Answer, error) {
@@ -80,38 +80,38 @@
 	case engine.ID != e.id():
 		return &forward.Answer{Status: http.StatusMisdirectedRequest, NotRun: true, Misdirected: true, Body: http.NoBody}, nil
 	}
-	if e.rest() > 0 && r.tooMuch(e) {
-		r.falls++
+	if e.rest() > 0 && r.overloaded(e) {
+		r.crashes++
 		r.crash(e)
 		return nil, forward.ErrConnectionBroken
 	}
-	if e.working >= replaySlots {
+	if e.active >= replaySlots {
 		return &forward.Answer{Status: http.StatusServiceUnavailable, NotRun: true, Body: http.NoBody}, nil
 	}
-	e.working++
+	e.active++
 	start := e.start
 	r.mu.Unlock()
-	time.Sleep(replayService)
+	time.Sleep(replayServiceTime)
 	r.mu.Lock()
 	if e.start != start || !e.up {
 		return nil, forward.ErrConnectionBroken
 	}
-	e.working--
+	e.active--
 	return &forward.Answer{Status: http.StatusOK, Valid: true, Signature: "signed", Header: http.Header{}, Body: io.NopCloser(strings.NewReader("x"))}, nil
 }
 
-// tooMuch notes an arrival at a cold engine, and reports whether there were too many within a second.
-func (r *replay) tooMuch(e *coldEngine) bool {
+// overloaded records an arrival at a cold engine and reports whether the last second had too many.
+func (r *replay) overloaded(e *coldEngine) bool {
 	now := time.Now()
 	e.arrived = append(slices.DeleteFunc(e.arrived, func(at time.Time) bool { return now.Sub(at) > time.Second }), now)
 	r.worst = max(r.worst, len(e.arrived))
 	return float64(len(e.arrived)) > replayBound
 }
 
-// crash ends an engine's start; another one comes a while later, cold. The mutex must be held.
+// crash stops an engine; it restarts cold after replayBack. The mutex must be held.
 func (r *replay) crash(e *coldEngine) {
-	e.up, e.working, e.arrived = false, 0, nil
-	time.AfterFunc(replayBack, func() {
+	e.up, e.active, e.arrived = false, 0, nil
+	time.AfterFunc(replayDowntime, func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		e.start++
@@ -119,7 +119,7 @@
 	})
 }
 
-// entries returns the engines as the store lists them.
+// entries returns the engine list as in the store.
 func (r *replay) entries() []*fleet.Engine {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -133,7 +133,7 @@
 	return listed
 }
 
-// relay shows a gateway the entries, each time as they were some time before.
+// relay updates a gateway's engine list with a random delay.
 func (r *replay) relay(ctx context.Context, state *fleet.State, random *rand.Rand) {
 	for ctx.Err() == nil {
 		listed := r.entries()
@@ -142,7 +142,7 @@
 	}
 }
 
-// play runs a number of gateways, with the shared quota or without one, and returns how many requests were served.
+// play runs gateways with or without the shared quota and returns the numbers of served and of all requests.
 func (r *replay) play(t *testing.T, gateways int, shared bool) (served, asked int64) {
 	ctx, cancel := context.WithCancel(t.Context())
 	var running sync.WaitGroup
@@ -150,11 +150,11 @@
 		r.engines = append(r.engines, &coldEngine{number: number, up: true, since: time.Now().Add(-time.Hour)})
 	}
 	route := routing.Route{Host: "h", Prefix: "/", Kind: routing.KindIdempotent, MaxAttempts: 2, LatencyObjective: 2 * time.Second, Targets: []routing.Target{{Service: "s", Weight: 1}}}
-	table := routing.NewTable(1, []routing.Route{route}, []routing.Service{{Name: "s", ColdStart: replayCold, ColdRate: replayRate}}, routing.Limits{})
-	keeper := coldstart.NewKeeper(coldstart.KeeperParams{
+	table := routing.NewTable(1, []routing.Route{route}, []routing.Service{{Name: "s", ColdStart: replayColdTime, ColdRate: replayRate}}, routing.Limits{})
+	limiter := coldstart.NewKeeper(coldstart.KeeperParams{
 		Rate: func(string) float64 { return replayRate }, ShownAt: boottime.Now, Now: boottime.Now, Logger: log.NewNopLogger(),
 	})
-	running.Go(func() { keeper.Lead(ctx) })
+	running.Go(func() { limiter.Lead(ctx) })
 	var ends, all atomic.Int64
 	for number := range gateways {
 		random := rand.New(rand.NewPCG(uint64(number), 11))
@@ -169,7 +169,7 @@
 				Ask: func(ctx context.Context, request coldstart.Request) (coldstart.Reply, error) {
 					time.Sleep(2 * time.Millisecond)
 					defer time.Sleep(2 * time.Millisecond)
-					return keeper.Ask(ctx, request), nil
+					return limiter.Ask(ctx, request), nil
 				}})
 		}
 		running.Go(func() { r.relay(ctx, state, rand.New(rand.NewPCG(uint64(number), 12))) })
@@ -198,21 +198,20 @@
 	return ends.Load(), all.Load()
 }
 
-// The engines of a service that all crash under load come back cold together: gateways that send what they have put each over at once, again and
-// again.
+// Engines of a service that crash together restart cold together; gateways that send their backlog at once would crash them again and again.
 func TestServiceComesBack(t *testing.T) {
 	for _, gateways := range []int{60, 300} {
 		for _, shared := range []bool{false, true} {
 			synctest.Test(t, func(t *testing.T) {
 				r := &replay{}
 				served, asked := r.play(t, gateways, shared)
-				t.Logf("%d gateways, shared quota %v: %d of %d served, %d engines fell over, at most %d in a second at a cold engine, bound %.1f",
-					gateways, shared, served, asked, r.falls, r.worst, replayBound)
-				if shared && (r.falls > 0 || float64(r.worst) > replayBound) {
-					t.Errorf("%d gateways: %d engines fell over, %d in a second", gateways, r.falls, r.worst)
+				t.Logf("%d gateways, shared quota %v: %d of %d served, %d engine crashes, at most %d requests in a second to a cold engine, bound %.1f",
+					gateways, shared, served, asked, r.crashes, r.worst, replayBound)
+				if shared && (r.crashes > 0 || float64(r.worst) > replayBound) {
+					t.Errorf("%d gateways: %d engine crashes, up to %d requests in a second", gateways, r.crashes, r.worst)
 				}
-				if !shared && r.falls == 0 {
-					t.Errorf("%d gateways: the load puts no engine over its bound, so that it shows nothing", gateways)
+				if !shared && r.crashes == 0 {
+					t.Errorf("%d gateways: the load exceeds no engine's bound, so the test is void", gateways)
 				}
 			})
 		}
--- a/internal/coldstart/schedules_test.go
+++ b/internal/coldstart/schedules_test.go
@@ -21,8 +21,8 @@
 	scheduleSeed  = flag.Uint64("coldstart.seed", 1, "first seed")
 )
 
-// TestNoEngineOverItsBound plays schedules of gateways that ask, holders that change, and what goes wrong with them, with the keepers' own code
-// in virtual time: in no second more than the bound may be sent to an engine.
+// TestNoEngineOverItsBound simulates random schedules of requests, coordinator changes and faults with the real limiters in virtual time: no engine
+// may get more requests in a second than the bound.
 func TestNoEngineOverItsBound(t *testing.T) {
 	count := *scheduleCount
 	const workers = 4
@@ -42,7 +42,7 @@
 				result.sent += s.count()
 				result.most = max(result.most, worst/bound)
 				if worst > bound {
-					result.fault = fmt.Sprintf("seed %d: %.0f in one second, bound %.1f, rate %.1f: %v", *scheduleSeed+uint64(i), worst, bound, s.rate, s.told)
+					result.fault = fmt.Sprintf("seed %d: %.0f sends in one second, bound %.1f, rate %.1f, faults: %v", *scheduleSeed+uint64(i), worst, bound, s.rate, s.faults)
 				}
 			}
 		})
@@ -57,12 +57,12 @@
 		most = max(most, result.most)
 	}
 	if sent < 10*count && !t.Failed() {
-		t.Errorf("%d sends in %d schedules: nothing was tried", sent, count)
+		t.Errorf("%d sends in %d schedules: too few for the test to be meaningful", sent, count)
 	}
 	t.Logf("%d schedules, %d sends, worst second at %.2f of its bound", count, sent, most)
 }
 
-// event is something that happens at a moment, to a process that may be suspended then; nil for none.
+// event is an action at a moment, of a process that may be suspended then; nil for none.
 type event struct {
 	at      time.Time
 	order   int
@@ -85,18 +85,18 @@
 	return x
 }
 
-// process is a gateway or a candidate.
+// process is a gateway or a coordinator candidate.
 type process struct {
 	wakesAt time.Time
 	dead    bool
-	// holder is the candidate that a gateway asks, and keeper a candidate's.
-	holder *process
-	keeper *Keeper
-	// cut is true while a candidate does not reach the store.
+	// coordinator is the coordinator that a gateway calls, and limiter the limiter of a candidate.
+	coordinator *process
+	limiter     *Keeper
+	// cut is true while a candidate cannot reach the store.
 	cut     bool
 	shownAt time.Time
-	// looks is the number of the keeper's next look: those that were set for later before it was woken are left out.
-	looks   int
+	// rounds is the number of the limiter's next round; rounds scheduled before it was woken are skipped.
+	rounds  int
 	pending map[*waitingRequest]func(grant)
 }
 
@@ -109,13 +109,13 @@
 	rate     float64
 	engines  []string
 	gateways []*process
-	// pause is the longest between two Requests of a gateway: all together ask for some four times the engines' rate.
+	// pause is the longest time between two Requests of a gateway; together the gateways request some four times the engines' rate.
 	pause time.Duration
-	// stalled is until when replies of keepers are held up, to arrive together.
+	// stalled is until when replies are delayed, to arrive together.
 	stalled time.Time
 	leader  *process
 	sends   map[string][]time.Time
-	told    []string
+	faults  []string
 }
 
 const scheduleLength = 5 * time.Second
@@ -144,12 +144,12 @@
 	count := 4 + s.random.IntN(12)
 	s.pause = time.Duration(float64(count) / (2 * s.rate * float64(len(s.engines))) * float64(time.Second))
 	for range count {
-		gateway := &process{holder: s.leader}
+		gateway := &process{coordinator: s.leader}
 		s.gateways = append(s.gateways, gateway)
 		s.at(s.between(0, 100*time.Millisecond), gateway, func() { s.ask(gateway) })
 	}
 	for range 1 + s.random.IntN(4) {
-		s.at(s.between(0, scheduleLength), nil, s.trouble)
+		s.at(s.between(0, scheduleLength), nil, s.injectFault)
 	}
 	for len(s.queue) > 0 {
 		next := heap.Pop(&s.queue).(event)
@@ -165,22 +165,22 @@
 	}
 }
 
-// lead makes a new candidate coordinate.
+// lead makes a new candidate the coordinator.
 func (s *schedule) lead() {
 	p := &process{shownAt: s.now, pending: make(map[*waitingRequest]func(grant))}
-	p.keeper = NewKeeper(KeeperParams{
+	p.limiter = NewKeeper(KeeperParams{
 		Rate:    func(string) float64 { return s.rate },
 		ShownAt: func() time.Time { return p.shownAt },
 		Now:     func() time.Time { return s.now },
 		Logger:  log.NewNopLogger(),
 	})
-	p.keeper.begin()
+	p.limiter.beginTerm()
 	s.leader = p
 	s.at(0, p, func() { s.follow(p) })
 	s.at(0, p, func() { s.serve(p) })
 }
 
-// follow shows a candidate its lease, while it reaches the store and holds it.
+// follow confirms a candidate's lease while it holds the lease and reaches the store.
 func (s *schedule) follow(p *process) {
 	if s.now.Sub(s.started) > scheduleLength {
 		return
@@ -195,17 +195,17 @@
 }
 
 func (s *schedule) endTerm(p *process) {
-	p.keeper.end()
+	p.limiter.endTerm()
 	s.answer(p)
 }
 
-// serve is one look of a keeper's own loop.
+// serve runs one round of a limiter's loop.
 func (s *schedule) serve(p *process) {
-	wait := p.keeper.serve()
+	wait := p.limiter.serve()
 	s.answer(p)
 	if s.random.IntN(8) == 0 {
 		// A request of the process itself, such as an item.
-		if engine := s.engines[s.random.IntN(len(s.engines))]; p.keeper.Take("service", engine, routing.Rank{}) {
+		if engine := s.engines[s.random.IntN(len(s.engines))]; p.limiter.Take("service", engine, routing.Rank{}) {
 			s.at(s.between(0, 200*time.Millisecond), p, func() { s.send(engine, s.now, forward.GrantedSendTime) })
 		}
 	}
@@ -213,17 +213,17 @@
 		wait = 300 * time.Millisecond
 	}
 	if s.now.Sub(s.started) < scheduleLength {
-		p.looks++
-		number := p.looks
+		p.rounds++
+		number := p.rounds
 		s.at(wait, p, func() {
-			if number == p.looks {
+			if number == p.rounds {
 				s.serve(p)
 			}
 		})
 	}
 }
 
-// answer hands on the answers that a keeper has given.
+// answer delivers the answers that a limiter has given.
 func (s *schedule) answer(p *process) {
 	for asked, reply := range p.pending {
 		select {
@@ -235,33 +235,33 @@
 	}
 }
 
-// ask is a gateway's Request, and sets the next one.
+// ask sends a gateway's Request and schedules the next one.
 func (s *schedule) ask(gateway *process) {
 	if s.now.Sub(s.started) > scheduleLength {
 		return
 	}
 	s.at(s.between(0, s.pause), gateway, func() { s.ask(gateway) })
-	asked, holder := s.now, gateway.holder
+	asked, coordinator := s.now, gateway.coordinator
 	request := Request{Service: "service", Engines: slices.Clone(s.engines), Wait: s.between(0, 800*time.Millisecond), Rank: routing.Rank{Route: s.random.IntN(2)}}
-	s.carry(holder, func() {
-		known, refused := holder.keeper.enter(request)
+	s.deliver(coordinator, func() {
+		entry, refused := coordinator.limiter.enqueue(request)
 		if refused != nil {
 			return
 		}
-		holder.pending[known] = func(given grant) {
-			reply := holder.keeper.reply(known, given)
-			s.carryAfter(max(0, s.stalled.Sub(s.now)), gateway, func() { s.granted(gateway, reply, asked) })
+		coordinator.pending[entry] = func(given grant) {
+			reply := coordinator.limiter.reply(entry, given)
+			s.deliverAfter(max(0, s.stalled.Sub(s.now)), gateway, func() { s.granted(gateway, reply, asked) })
 		}
-		s.serve(holder)
+		s.serve(coordinator)
 	})
 }
 
-// carry brings a message to a process: soon, late or never.
-func (s *schedule) carry(to *process, do func()) { s.carryAfter(0, to, do) }
+// deliver delivers a message to a process: soon, late or never.
+func (s *schedule) deliver(to *process, do func()) { s.deliverAfter(0, to, do) }
 
-// carryAfter is carry for a message that is held up first.
-func (s *schedule) carryAfter(held time.Duration, to *process, do func()) {
-	delay := held + s.between(0, 45*time.Millisecond)
+// deliverAfter is carry with an additional delay.
+func (s *schedule) deliverAfter(extra time.Duration, to *process, do func()) {
+	delay := extra + s.between(0, 45*time.Millisecond)
 	switch s.random.IntN(20) {
 	case 0:
 		return
@@ -271,7 +271,7 @@
 	s.at(delay, to, do)
 }
 
-// granted is the arrival of an answer at the gateway, which may be suspended between any two steps.
+// granted handles a reply at the gateway, which may be suspended between any two steps.
 func (s *schedule) granted(gateway *process, reply Reply, asked time.Time) {
 	if reply.Engine == "" || reply.late(s.now.Sub(asked)) {
 		return
@@ -280,7 +280,7 @@
 	s.at(s.between(0, 200*time.Millisecond), gateway, func() { s.send(reply.Engine, granted, forward.GrantedSendTime) })
 }
 
-// send is the transport's last look before a request leaves.
+// send is the transport's last check before a request is sent.
 func (s *schedule) send(engine string, granted time.Time, within time.Duration) {
 	if !s.now.Before(granted.Add(within)) {
 		return
@@ -288,11 +288,11 @@
 	s.sends[engine] = append(s.sends[engine], s.now)
 }
 
-// trouble is one thing that goes wrong.
-func (s *schedule) trouble() {
-	s.told = append(s.told, "")
+// injectFault causes one random fault.
+func (s *schedule) injectFault() {
+	s.faults = append(s.faults, "")
 	note := func(what string) {
-		s.told[len(s.told)-1] = fmt.Sprint(what, " at ", s.now.Sub(s.started).Round(time.Millisecond))
+		s.faults[len(s.faults)-1] = fmt.Sprint(what, " at ", s.now.Sub(s.started).Round(time.Millisecond))
 	}
 	old := s.leader
 	switch s.random.IntN(8) {
@@ -305,53 +305,53 @@
 			}
 		}
 	case 1:
-		note("holder suspended")
+		note("coordinator suspended")
 		old.wakesAt = s.now.Add(s.between(50*time.Millisecond, 6*time.Second))
 		s.takeOver(old, s.between(electionTime, 4*time.Second))
 	case 2:
-		note("holder cut off the store")
+		note("coordinator cut off from the store")
 		old.cut = true
 		s.takeOver(old, s.between(electionTime, 4*time.Second))
 	case 3:
-		note("holder killed and started again")
+		note("coordinator killed and restarted")
 		old.dead = true
-		s.at(s.between(0, time.Second), nil, func() { s.change(old) })
+		s.at(s.between(0, time.Second), nil, func() { s.changeCoordinator(old) })
 	case 4:
 		note("lease yielded")
 		s.endTerm(old)
-		s.at(s.between(0, time.Second), nil, func() { s.change(old) })
+		s.at(s.between(0, time.Second), nil, func() { s.changeCoordinator(old) })
 	case 5:
 		note("all processes killed")
 		old.dead = true
 		for i := range s.gateways {
 			s.gateways[i].dead = true
-			gateway := &process{holder: old}
+			gateway := &process{coordinator: old}
 			s.gateways[i] = gateway
 			s.at(s.between(0, 300*time.Millisecond), gateway, func() { s.ask(gateway) })
 		}
-		s.at(s.between(0, 500*time.Millisecond), nil, func() { s.change(old) })
+		s.at(s.between(0, 500*time.Millisecond), nil, func() { s.changeCoordinator(old) })
 	case 6:
-		// It sees the challenge, its answer is lost, and then it does not see that another holds the lease.
-		note("holder's answer to a challenge lost")
+		// It sees the challenge, but its answer is lost, and it does not see that another candidate has the lease.
+		note("coordinator's answer to a challenge lost")
 		old.cut, old.shownAt = true, s.now
-		s.at(s.between(0, 100*time.Millisecond), nil, func() { s.change(old) })
+		s.at(s.between(0, 100*time.Millisecond), nil, func() { s.changeCoordinator(old) })
 	case 7:
-		note("answers held up")
+		note("replies delayed")
 		s.stalled = s.now.Add(s.between(500*time.Millisecond, 2500*time.Millisecond))
 	}
 }
 
-// takeOver lets another candidate coordinate if the holder still does not see the store then.
+// takeOver lets another candidate lead if the coordinator still cannot reach the store by then.
 func (s *schedule) takeOver(old *process, after time.Duration) {
 	s.at(after, nil, func() {
 		if old.cut || old.wakesAt.After(s.now) {
-			s.change(old)
+			s.changeCoordinator(old)
 		}
 	})
 }
 
-// change lets another candidate coordinate; gateways learn of it one after the other, some late.
-func (s *schedule) change(old *process) {
+// changeCoordinator makes another candidate the coordinator; gateways learn of it one by one, some late.
+func (s *schedule) changeCoordinator(old *process) {
 	if s.leader != old {
 		return
 	}
@@ -362,7 +362,7 @@
 		if s.random.IntN(3) == 0 {
 			delay += s.between(0, 5*time.Second)
 		}
-		s.at(delay, gateway, func() { gateway.holder = next })
+		s.at(delay, gateway, func() { gateway.coordinator = next })
 	}
 }
 
@@ -373,7 +373,7 @@
 	return count
 }
 
-// worstSecond returns the most that was sent to an engine in any second.
+// worstSecond returns the maximum number of sends to an engine in any second.
 func (s *schedule) worstSecond() (worst int) {
 	for _, sends := range s.sends {
 		slices.SortFunc(sends, time.Time.Compare)
--- a/internal/coldstart/warmth.go
+++ b/internal/coldstart/tracker.go
@@ -15,73 +15,73 @@
 )
 
 const (
-	// entryMargin is added to the remaining time of an entry: the clocks of engine and process run at different speeds, and a process looks at its
-	// view some time after it changed.
+	// entryMargin is added to the remaining cold time of an entry: the clocks of the engine and this process may drift, and a process reads a view
+	// some time after it changed.
 	entryMargin = 200 * time.Millisecond
-	// entryDelay is how long an entry may take from its engine to this process. An entry that says warm and arrives within this time of a start may
-	// have been written before it.
-	entryDelay = 2 * time.Second
-	// forgetAfter is how long an engine that is no longer listed is remembered. Lists are incomplete for some seconds after a process begins to
-	// follow the deployment again; an engine that reappears in one has not started.
-	forgetAfter = 30 * time.Second
-	// sweepInterval is the pause between two looks for engines that have become warm: how late a log line and the count of cold engines may be.
+	// maxEntryDelay bounds the propagation of an entry from its engine to this process. An entry without cold time that arrives within this time of
+	// a start may predate it.
+	maxEntryDelay = 2 * time.Second
+	// recordTTL is how long the record of an unlisted engine is kept. Lists may be incomplete for some seconds after a process resumes following
+	// the deployment; an engine that reappears has not restarted.
+	recordTTL = 30 * time.Second
+	// sweepInterval is the pause between two checks for engines that have become warm. It bounds the delay of the log line and of Count.
 	sweepInterval = 100 * time.Millisecond
 )
 
-// Cause is why an engine counts as cold or warm, as logged.
+// Cause is why the cold state of an engine changed, as logged.
 type Cause string
 
 // The causes.
 const (
-	// CauseEntry: the engine's entry says so.
+	// CauseEntry: the engine's entry changed.
 	CauseEntry Cause = "entry"
-	// CauseStart: the engine appeared in a service of which engines were listed before.
+	// CauseStart: the engine appeared in a service with engines already listed.
 	CauseStart Cause = "start"
 	// CauseRestored: the evacuation of its zone ended.
 	CauseRestored Cause = "zone restored"
-	// CauseTime: its cold time is over.
+	// CauseTime: its cold time has elapsed.
 	CauseTime Cause = "time over"
 )
 
-// Warmth tells which engines are cold. It is safe for concurrent use.
+// Tracker determines which engines are cold. It is safe for concurrent use.
 type Warmth struct {
 	state  *fleet.State
 	now    func() time.Time
 	logger log.Logger
-	// seen is the last view that was observed.
+	// seen is the last processed view.
 	seen atomic.Pointer[fleet.View]
-	// cold maps the IDs of cold engines to when each becomes warm. It is replaced as a whole, so that Cold takes no lock.
+	// cold maps the IDs of cold engines to when each becomes warm. The map is replaced as a whole so that Cold takes no lock.
 	cold atomic.Pointer[map[string]time.Time]
 
 	mu      sync.Mutex
-	engines map[string]*warmthRecord
-	// listed are the services of which engines were listed in an earlier view.
+	engines map[string]*engineRecord
+	// listed holds the services that had engines in an earlier view.
 	listed map[string]struct{}
-	// evacuated are the zones that were evacuated in the last view that told evacuations.
+	// evacuated holds the evacuated zones of the last view with known evacuations.
 	evacuated map[string]struct{}
 }
 
-// warmthRecord is what this process knows of one start of an engine.
-type warmthRecord struct {
-	// entry is the remaining cold time in the engine's last entry, and entryAt when this process first saw that value.
+// engineRecord is the state of one start of an engine.
+type engineRecord struct {
+	// entry is the remaining cold time in the engine's last entry, and entryAt when that value was first seen.
 	entry   time.Duration
 	entryAt time.Time
-	// until is when it becomes warm; zero or past for a warm one.
+	// until is when the engine becomes warm; zero or past if it is warm.
 	until time.Time
-	// believeFrom is the moment from which an entry that says warm is believed.
-	believeFrom time.Time
-	// listedAt is when it was last listed.
+	// ignoreWarmUntil is the moment before which entries without cold time are ignored.
+	ignoreWarmUntil time.Time
+	// listedAt is when the engine was last listed.
 	listedAt time.Time
 }
 
-// NewWarmth returns a Warmth of the engines of a state. now must be a clock that counts suspensions of the machine.
+// NewTracker returns a Tracker of the engines of a state. now must be a clock that includes time during which the machine is suspended.
 func NewWarmth(state *fleet.State, now func() time.Time, logger log.Logger) *Warmth {
-	w := &Warmth{state: state, now: now, logger: logger, engines: make(map[string]*warmthRecord), listed: make(map[string]struct{})}
+	w := &Warmth{state: state, now: now, logger: logger, engines: make(map[string]*engineRecord), listed: make(map[string]struct{})}
 	w.cold.Store(&map[string]time.Time{})
 	return w
 }
 
-// Run observes the views of the state until ctx ends. Cold observes a view that Run has not got to yet.
+// Run processes the views of the state until ctx ends. Cold processes a new view itself if Run has not yet done so.
 func (w *Warmth) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		_, changed := w.state.Changed()
@@ -95,8 +95,7 @@
 	}
 }
 
-// Relist makes the unknown engines of the next view count as listed before, not as just started. A process calls it when it has not followed the
-// deployment for a while.
+// Relist makes new engines of the next view count as listed before, not as just started. Call it after a gap in following the deployment.
 func (w *Warmth) Relist() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -115,12 +114,12 @@
 // Count returns the number of cold engines.
 func (w *Warmth) Count() int { return len(*w.cold.Load()) }
 
-// Rate returns the cold rate of a service, in requests a second for each engine; zero if its engines are never cold or the service is unknown.
+// Rate returns the cold rate of a service, in requests per second and engine; zero if its engines are never cold or the service is unknown.
 func (w *Warmth) Rate(service string) float64 {
 	return coldService(w.state.View().Routes, service).ColdRate
 }
 
-// coldService returns a service if its engines may be cold, else the zero Service.
+// coldService returns a service that has a cold rate, else the zero Service.
 func coldService(routes *routing.Table, name string) routing.Service {
 	if routes == nil || routes.Services[name].ColdRate <= 0 {
 		return routing.Service{}
@@ -128,7 +127,7 @@
 	return routes.Services[name]
 }
 
-// anyColdService reports whether engines of any service may be cold.
+// anyColdService reports whether any service has a cold rate.
 func anyColdService(routes *routing.Table) bool {
 	if routes == nil {
 		return false
@@ -141,8 +140,8 @@
 	return false
 }
 
-// observe updates the records from the newest view, unless that was done. It reads the view under the mutex: an older view observed after a newer one
-// would make a zone seem restored.
+// observe updates the records from the current view unless that was already done. It reads the view under the mutex: processing an older view after
+// a newer one would make a zone appear restored.
 func (w *Warmth) observe() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -154,7 +153,6 @@
 	services := make(map[string]struct{})
 	restored := w.restored(view.Evacuations)
 	if !anyColdService(view.Routes) && len(w.engines) == 0 {
-		// Nothing to look at in any engine.
 		w.seen.Store(view)
 		return
 	}
@@ -166,16 +164,16 @@
 		services[engine.Service] = struct{}{}
 		w.observeEngine(engine, service.ColdStart, now)
 		if _, ok := restored[engine.Zone]; ok {
-			w.engines[engine.ID].turnCold(now, service.ColdStart)
+			w.engines[engine.ID].markCold(now, service.ColdStart)
 			w.logChange(engine.ID, CauseRestored, now)
 		}
 	}
-	// Only now: the engines of a service's first view did not appear among others.
+	// Must follow the loop: engines in the first view of a service have not just started.
 	for service := range services {
 		w.listed[service] = struct{}{}
 	}
 	for id, record := range w.engines {
-		if now.Sub(record.listedAt) > forgetAfter {
+		if now.Sub(record.listedAt) > recordTTL {
 			delete(w.engines, id)
 		}
 	}
@@ -183,7 +181,7 @@
 	w.seen.Store(view)
 }
 
-// restored returns the zones whose evacuation ended since the last view, and remembers those that are evacuated. The mutex must be held.
+// restored returns the zones whose evacuation ended since the last view, and stores the evacuated ones. The mutex must be held.
 func (w *Warmth) restored(evacuations *fleet.Evacuations) map[string]struct{} {
 	if evacuations == nil {
 		return nil
@@ -205,10 +203,10 @@
 func (w *Warmth) observeEngine(engine *fleet.Engine, coldStart time.Duration, now time.Time) {
 	record, known := w.engines[engine.ID]
 	if !known {
-		record = &warmthRecord{}
+		record = &engineRecord{}
 		w.engines[engine.ID] = record
 		if _, listedBefore := w.listed[engine.Service]; listedBefore {
-			record.turnCold(now, coldStart)
+			record.markCold(now, coldStart)
 			w.logChange(engine.ID, CauseStart, now)
 		}
 	}
@@ -217,43 +215,43 @@
 		return
 	}
 	record.entry, record.entryAt = engine.ColdRemaining, now
-	if record.takeEntry(now) {
+	if record.applyEntry(now) {
 		w.logChange(engine.ID, CauseEntry, now)
 	}
 }
 
-// turnCold records that the engine has probably become cold now: it started, or its zone was restored.
-func (r *warmthRecord) turnCold(now time.Time, coldStart time.Duration) {
+// markCold records that the engine may have become cold now because it started or its zone was restored.
+func (r *engineRecord) markCold(now time.Time, coldStart time.Duration) {
 	if until := now.Add(coldStart); until.After(r.until) {
 		r.until = until
 	}
-	r.believeFrom = now.Add(entryDelay)
+	r.ignoreWarmUntil = now.Add(maxEntryDelay)
 }
 
-// takeEntry applies a changed entry. It reports whether that changed until. The age of an entry is unknown: it counts as just written, so that an
+// applyEntry applies a changed entry and reports whether until has changed. As the age of an entry is unknown, it is treated as just written: the
 // engine counts as cold for too long rather than too short a time.
-func (r *warmthRecord) takeEntry(now time.Time) bool {
+func (r *engineRecord) applyEntry(now time.Time) bool {
 	if r.entry <= 0 {
-		if now.Before(r.believeFrom) || !now.Before(r.until) {
+		if now.Before(r.ignoreWarmUntil) || !now.Before(r.until) {
 			return false
 		}
 		r.until = now
 		return true
 	}
-	// The engine wrote this entry after it became cold: an entry that says warm is newer still, and is believed at once.
-	r.believeFrom = time.Time{}
+	// The engine wrote this entry after it became cold, so a later entry without cold time is valid.
+	r.ignoreWarmUntil = time.Time{}
 	r.until = now.Add(r.entry + entryMargin)
 	return true
 }
 
-// logChange logs why an engine counts as cold or warm, one line for each input that changed. The mutex must be held.
+// logChange logs a change of an engine's cold state and its cause. The mutex must be held.
 func (w *Warmth) logChange(id string, cause Cause, now time.Time) {
 	record := w.engines[id]
-	level.Info(w.logger).Log("msg", "engine warmth changed", "engine", id, "cold", now.Before(record.until), "cause", cause,
+	level.Info(w.logger).Log("msg", "engine cold state changed", "engine", id, "cold", now.Before(record.until), "cause", cause,
 		"for", max(record.until.Sub(now), 0).Round(time.Millisecond), "entry_rest", record.entry, "entry_age", now.Sub(record.entryAt).Round(time.Millisecond))
 }
 
-// sweep removes the engines whose cold time is over from the set of cold engines.
+// sweep removes engines whose cold time has elapsed from the set of cold engines.
 func (w *Warmth) sweep() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
