--- a/internal/batchrun/harness_test.go
+++ b/internal/batchrun/harness_test.go
@@ -156,7 +156,7 @@
 	stop          func()
 	maxEndedBytes int
 	// desk is nil if the runners execute all runs themselves.
-	desk         *itemwork.Desk
+	desk         *itemwork.Dispatcher
 	evacuateTime time.Duration
 	// textFolder is the checkpoint directory; empty disables checkpoints.
 	textFolder string
--- a/internal/batchrun/paths_test.go
+++ b/internal/batchrun/paths_test.go
@@ -134,7 +134,7 @@
 	states    []*fleet.State
 	forwarder *forward.Forwarder
 	runner    *batchrun.Runner
-	desk      *itemwork.Desk
+	desk      *itemwork.Dispatcher
 	jobs      []batch.Job
 	lookups   int
 	running   sync.WaitGroup
--- a/internal/batchrun/remote_test.go
+++ b/internal/batchrun/remote_test.go
@@ -23,7 +23,7 @@
 // workerHarness is a harness whose runners dispatch their runs to workers.
 type workerHarness struct {
 	*harness
-	desk atomic.Pointer[itemwork.Desk]
+	desk atomic.Pointer[itemwork.Dispatcher]
 	// disconnected makes calls to the desk time out.
 	disconnected atomic.Bool
 	// reports counts the reports sent by workers.
@@ -113,7 +113,7 @@
 // endingQuota ends the term while a run is being placed.
 type endingQuota struct {
 	stop func()
-	desk *itemwork.Desk
+	desk *itemwork.Dispatcher
 }
 
 func (q endingQuota) Cold(*fleet.Engine) bool               { return true }
@@ -336,7 +336,7 @@
 
 // scriptedWorker is a worker whose calls the test makes.
 type scriptedWorker struct {
-	desk  *itemwork.Desk
+	desk  *itemwork.Dispatcher
 	id    itemwork.WorkerID
 	term  int64
 	taken uint64
--- a/internal/fleetnode/coordinator.go
+++ b/internal/fleetnode/coordinator.go
@@ -44,7 +44,7 @@
 	fx.Invoke(runCoordinator),
 )
 
-func newDesk(registry *prometheus.Registry, state *fleet.State, logger log.Logger) *itemwork.Desk {
+func newDesk(registry *prometheus.Registry, state *fleet.State, logger log.Logger) *itemwork.Dispatcher {
 	desk := itemwork.NewDesk(telemetry.For(logger, telemetry.PartBatch))
 	desk.Region = func(zone string) string { return state.View().Topology.Region(zone) }
 	registerGauge(registry, "workers", "Gateways that run batch items for this process.", desk.Workers)
@@ -52,7 +52,7 @@
 }
 
 func newRunner(config settings.Fleet, state *fleet.State, transport forward.Transport, forwarder *forward.Forwarder,
-	guard *quarantine.Guard, store metastore.Client, desk *itemwork.Desk, warmth *coldstart.Warmth, grants *coldstart.Keeper, observed *metrics,
+	guard *quarantine.Guard, store metastore.Client, desk *itemwork.Dispatcher, warmth *coldstart.Warmth, grants *coldstart.Keeper, observed *metrics,
 	logger log.Logger) *batchrun.Runner {
 	return batchrun.New(batchrun.Params{
 		State:        state,
@@ -105,7 +105,7 @@
 	Outage    *metastore.Outage
 	Followers *metastore.Followers
 	Runner    *batchrun.Runner
-	Desk      *itemwork.Desk
+	Desk      *itemwork.Dispatcher
 	Orders    *weightorder.Manager
 	Leaving   *decommission.Manager
 	Clock     *fleettime.Consensus
--- a/internal/itemwork/calls.go
+++ b/internal/itemwork/calls.go
@@ -81,7 +81,7 @@
 }
 
 // Register registers the handlers of a dispatcher with a server.
-func Register(server *rpc.Server, desk *Desk) {
+func Register(server *rpc.Server, desk *Dispatcher) {
 	rpc.Handle(server, func(ctx context.Context, _ rpc.Peer, request PollRequest) (PollReply, error) {
 		return desk.Poll(ctx, request), nil
 	})
--- a/internal/itemwork/dispatcher.go
+++ b/internal/itemwork/dispatcher.go
@@ -53,7 +53,7 @@
 )
 
 // Dispatcher assigns runs to workers and receives their reports. It is safe for concurrent use.
-type Desk struct {
+type Dispatcher struct {
 	// Region returns the region of a zone, or an empty string if it is unknown; nil means that no region is known. Assignments bound to regions go
 	// only to workers in those regions. Region must be set before first use.
 	Region func(zone string) string
@@ -95,10 +95,10 @@
 const keySeparator = "/"
 
 // NewDispatcher returns a Dispatcher that serves no term.
-func NewDesk(logger log.Logger) *Desk { return &Desk{logger: logger} }
+func NewDesk(logger log.Logger) *Dispatcher { return &Dispatcher{logger: logger} }
 
 // Lead serves workers for a term until ctx ends.
-func (d *Desk) Lead(ctx context.Context, term int64, handler Handler) {
+func (d *Dispatcher) Lead(ctx context.Context, term int64, handler Handler) {
 	d.mu.Lock()
 	d.term, d.handler, d.orderCount = term, handler, 0
 	d.workers = make(map[string]*workerState)
@@ -124,14 +124,14 @@
 }
 
 // Workers returns the number of registered workers.
-func (d *Desk) Workers() int {
+func (d *Dispatcher) Workers() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.workers)
 }
 
 // extendDeadlines extends all deadlines by the time for which this process was stalled and could not receive calls.
-func (d *Desk) extendDeadlines(stall time.Duration) {
+func (d *Dispatcher) extendDeadlines(stall time.Duration) {
 	if stall < expiryInterval {
 		return
 	}
@@ -144,7 +144,7 @@
 }
 
 // removeExpired removes the workers whose deadline has passed and returns their keys.
-func (d *Desk) removeExpired() []string {
+func (d *Dispatcher) removeExpired() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var lost []string
@@ -160,14 +160,14 @@
 }
 
 // remove drops a worker. The mutex must be held.
-func (d *Desk) remove(worker *workerState) {
+func (d *Dispatcher) remove(worker *workerState) {
 	delete(d.workers, worker.Name)
 	clear(d.workerByEngine)
 }
 
 // register returns the state of the calling worker, which it creates if needed. If that replaces an earlier start of the worker, it also returns
 // the key of the lost one. The mutex must be held.
-func (d *Desk) register(id WorkerID) (worker *workerState, lost string) {
+func (d *Dispatcher) register(id WorkerID) (worker *workerState, lost string) {
 	worker, ok := d.workers[id.Name]
 	if ok && worker.Instance != id.Instance {
 		lost = worker.key()
@@ -191,7 +191,7 @@
 
 // Assign queues an assignment for the engine's default worker, or for the best eligible one if the residency excludes that worker's region. It
 // returns false if there is none.
-func (d *Desk) Assign(residency placement.Residency, engine *fleet.Engine, assignment *Assignment) (worker string, ok bool) {
+func (d *Dispatcher) Assign(residency placement.Residency, engine *fleet.Engine, assignment *Assignment) (worker string, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.handler == nil {
@@ -209,7 +209,7 @@
 }
 
 // HasEligibleWorker reports whether the residency allows the region of at least one worker that accepts assignments.
-func (d *Desk) Reaches(residency placement.Residency) bool {
+func (d *Dispatcher) Reaches(residency placement.Residency) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, worker := range d.workers {
@@ -221,7 +221,7 @@
 }
 
 // allows reports whether a residency allows the region of a worker.
-func (d *Desk) allows(residency placement.Residency, worker *workerState) bool {
+func (d *Dispatcher) allows(residency placement.Residency, worker *workerState) bool {
 	if !residency.Restricted() {
 		return true
 	}
@@ -230,7 +230,7 @@
 
 // defaultWorker returns the cached worker of an engine for assignments without a residency bound, choosing one if needed; nil if there is none. The
 // mutex must be held.
-func (d *Desk) defaultWorker(engine *fleet.Engine) *workerState {
+func (d *Dispatcher) defaultWorker(engine *fleet.Engine) *workerState {
 	chosen, ok := d.workerByEngine[engine.ID]
 	if !ok {
 		if len(d.workerByEngine) >= maxCachedEngines {
@@ -244,7 +244,7 @@
 
 // selectWorker chooses the worker of an engine by rendezvous hashing among those that a residency allows, preferring the engine's zone; nil if
 // there is none. The mutex must be held.
-func (d *Desk) selectWorker(engine *fleet.Engine, residency placement.Residency) *workerState {
+func (d *Dispatcher) selectWorker(engine *fleet.Engine, residency placement.Residency) *workerState {
 	key := rendezvous.Hash(engine.ID)
 	var best *workerState
 	var bestScore uint64
@@ -262,13 +262,13 @@
 }
 
 // Cancel orders a worker to cancel a run.
-func (d *Desk) Cancel(worker string, run RunID) { d.enqueueFor(worker, Order{Cancel: run}) }
+func (d *Dispatcher) Cancel(worker string, run RunID) { d.enqueueFor(worker, Order{Cancel: run}) }
 
 // Release orders a worker to make no reward call for a run.
-func (d *Desk) Release(worker string, run RunID) { d.enqueueFor(worker, Order{Release: run}) }
+func (d *Dispatcher) Release(worker string, run RunID) { d.enqueueFor(worker, Order{Release: run}) }
 
 // enqueueFor queues an order for the worker with a key, if it is registered.
-func (d *Desk) enqueueFor(worker string, order Order) {
+func (d *Dispatcher) enqueueFor(worker string, order Order) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	// Looks the worker up by name instead of scanning all: the end of a step queues an order for each item.
@@ -279,7 +279,7 @@
 }
 
 // enqueue queues an order. The mutex must be held.
-func (d *Desk) enqueue(w *workerState, order Order) {
+func (d *Dispatcher) enqueue(w *workerState, order Order) {
 	d.orderCount++
 	order.Number = d.orderCount
 	w.orders = append(w.orders, order)
@@ -300,7 +300,7 @@
 }
 
 // Poll returns a worker's unconfirmed orders. It waits up to pollWait if there are none.
-func (d *Desk) Poll(ctx context.Context, request PollRequest) PollReply {
+func (d *Dispatcher) Poll(ctx context.Context, request PollRequest) PollReply {
 	started := boottime.Now()
 	d.mu.Lock()
 	if d.handler == nil {
@@ -378,7 +378,7 @@
 }
 
 // Report passes a worker's reports to the handler of the term.
-func (d *Desk) Report(request ReportRequest) ReportReply {
+func (d *Dispatcher) Report(request ReportRequest) ReportReply {
 	d.mu.Lock()
 	if d.handler == nil {
 		d.mu.Unlock()
