--- a/internal/batchrun/paths_test.go
+++ b/internal/batchrun/paths_test.go
@@ -153,7 +153,7 @@
 
 func (h *pathHarness) start(ctx context.Context, topology fleet.Topology) {
 	coordinator := h.addProcess("coordinator", topology)
-	h.desk = itemwork.NewDesk(log.NewNopLogger())
+	h.desk = itemwork.NewDispatcher(log.NewNopLogger())
 	h.desk.Region = topology.Region
 	h.runner = batchrun.New(batchrun.Params{
 		State: coordinator.State, Transport: coordinator.Transport, Forwarder: coordinator.Forwarder,
--- a/internal/batchrun/remote_test.go
+++ b/internal/batchrun/remote_test.go
@@ -49,7 +49,7 @@
 
 // startTerm starts a runner with a new desk that leads with the given token. The previous runner must have stopped.
 func (h *workerHarness) startTerm(token int64) {
-	desk := itemwork.NewDesk(log.NewNopLogger())
+	desk := itemwork.NewDispatcher(log.NewNopLogger())
 	desk.Region = func(zone string) string { return h.state.View().Topology.Region(zone) }
 	h.desk.Store(desk)
 	h.harness.desk = desk
--- a/internal/fleetnode/coordinator.go
+++ b/internal/fleetnode/coordinator.go
@@ -45,7 +45,7 @@
 )
 
 func newDesk(registry *prometheus.Registry, state *fleet.State, logger log.Logger) *itemwork.Dispatcher {
-	desk := itemwork.NewDesk(telemetry.For(logger, telemetry.PartBatch))
+	desk := itemwork.NewDispatcher(telemetry.For(logger, telemetry.PartBatch))
 	desk.Region = func(zone string) string { return state.View().Topology.Region(zone) }
 	registerGauge(registry, "workers", "Gateways that run batch items for this process.", desk.Workers)
 	return desk
--- a/internal/itemwork/dispatcher.go
+++ b/internal/itemwork/dispatcher.go
@@ -95,7 +95,7 @@
 const keySeparator = "/"
 
 // NewDispatcher returns a Dispatcher that serves no term.
-func NewDesk(logger log.Logger) *Dispatcher { return &Dispatcher{logger: logger} }
+func NewDispatcher(logger log.Logger) *Dispatcher { return &Dispatcher{logger: logger} }
 
 // Lead serves workers for a term until ctx ends.
 func (d *Dispatcher) Lead(ctx context.Context, term int64, handler Handler) {
--- a/internal/itemwork/dispatcher_residency_test.go
+++ b/internal/itemwork/dispatcher_residency_test.go
@@ -17,7 +17,7 @@
 func TestDispatcherAssignsBoundRunsToAllowedRegions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		desk := NewDesk(log.NewNopLogger())
+		desk := NewDispatcher(log.NewNopLogger())
 		desk.Region = func(zone string) string { return strings.TrimRight(zone, "0123456789") }
 		done := make(chan struct{})
 		go func() {
--- a/internal/itemwork/dispatcher_test.go
+++ b/internal/itemwork/dispatcher_test.go
@@ -40,7 +40,7 @@
 func TestDispatcher(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		desk := NewDesk(log.NewNopLogger())
+		desk := NewDispatcher(log.NewNopLogger())
 		lost := &lostWorkers{}
 		done := make(chan struct{})
 		go func() {
--- a/internal/jobresidency/deployment_test.go
+++ b/internal/jobresidency/deployment_test.go
@@ -195,7 +195,7 @@
 	c := &coordinator{outage: metastore.NewOutage()}
 	store := metastore.Watched(inner, c.outage)
 	state := d.newState()
-	desk := itemwork.NewDesk(log.NewNopLogger())
+	desk := itemwork.NewDispatcher(log.NewNopLogger())
 	desk.Region = topology.Region
 	c.runner = batchrun.New(batchrun.Params{State: state, Transport: d, Store: store, Zone: zone, Desk: desk, Logger: log.NewNopLogger(),
 		Forwarder: forward.New(state, d, forward.NewPicker(time.Now), log.NewNopLogger())})
