--- a/internal/batchrun/local_sink.go
+++ b/internal/batchrun/local_sink.go
@@ -35,7 +35,7 @@
 		End:     s.end,
 	}
 	change(report)
-	switch s.runner.Reported("", report) {
+	switch s.runner.HandleReport("", report) {
 	case itemwork.Unwanted:
 		s.cancel()
 	case itemwork.TextOnly:
--- a/internal/batchrun/report.go
+++ b/internal/batchrun/report.go
@@ -9,8 +9,8 @@
 	"github.com/covelink/covelink/internal/itemwork"
 )
 
-// Reported implements itemwork.Handler.
-func (r *Runner) Reported(worker string, report *itemwork.Report) itemwork.Disposition {
+// HandleReport implements itemwork.Handler.
+func (r *Runner) HandleReport(worker string, report *itemwork.Report) itemwork.Disposition {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.leads() {
--- a/internal/itemwork/dispatcher.go
+++ b/internal/itemwork/dispatcher.go
@@ -34,7 +34,7 @@
 // Handler processes run reports for the coordinator.
 type Handler interface {
 	// HandleReport applies a report and returns what the worker may still do with the run.
-	Reported(worker string, report *Report) Disposition
+	HandleReport(worker string, report *Report) Disposition
 	// WorkerLost is called when a worker is considered lost, with all its runs.
 	WorkerLost(worker string)
 }
@@ -397,7 +397,7 @@
 	}
 	for i := range request.Reports {
 		report := &request.Reports[i]
-		switch handler.Reported(key, report) {
+		switch handler.HandleReport(key, report) {
 		case Unwanted:
 			reply.Unwanted = append(reply.Unwanted, report.Run)
 		case TextOnly:
--- a/internal/itemwork/dispatcher_test.go
+++ b/internal/itemwork/dispatcher_test.go
@@ -20,7 +20,7 @@
 	names []string
 }
 
-func (l *lostWorkers) Reported(string, *Report) Disposition { return Wanted }
+func (l *lostWorkers) HandleReport(string, *Report) Disposition { return Wanted }
 
 func (l *lostWorkers) WorkerLost(worker string) {
 	l.mu.Lock()
