--- a/internal/batchrun/residency.go
+++ b/internal/batchrun/residency.go
@@ -84,7 +84,7 @@
 // canExecute reports whether a worker or this process may execute an item's run. The mutex must be held.
 func (r *Runner) canExecute(it *item) bool {
 	residency := r.runResidency(it)
-	if r.allowedHere(residency) || r.Desk != nil && r.Desk.Reaches(residency) {
+	if r.allowedHere(residency) || r.Desk != nil && r.Desk.HasEligibleWorker(residency) {
 		return true
 	}
 	if !it.job.noWorkerLogged {
--- a/internal/itemwork/dispatcher.go
+++ b/internal/itemwork/dispatcher.go
@@ -209,7 +209,7 @@
 }
 
 // HasEligibleWorker reports whether the residency allows the region of at least one worker that accepts assignments.
-func (d *Dispatcher) Reaches(residency placement.Residency) bool {
+func (d *Dispatcher) HasEligibleWorker(residency placement.Residency) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, worker := range d.workers {
--- a/internal/itemwork/dispatcher_residency_test.go
+++ b/internal/itemwork/dispatcher_residency_test.go
@@ -47,16 +47,16 @@
 			So(assign("north1", placement.Residency{Tenant: []string{"north"}, Accepted: [][]string{{"south"}}}), ShouldBeEmpty)
 			So(assign("south1", south), ShouldEqual, "w-south1/first")
 			So(assign("north1", placement.Residency{}), ShouldEqual, "w-north1/first")
-			So(desk.Reaches(south), ShouldBeTrue)
+			So(desk.HasEligibleWorker(south), ShouldBeTrue)
 			meet("south1", true)
 			So(assign("south1", south), ShouldBeEmpty)
-			So(desk.Reaches(south), ShouldBeFalse)
-			So(desk.Reaches(placement.Residency{}), ShouldBeTrue)
+			So(desk.HasEligibleWorker(south), ShouldBeFalse)
+			So(desk.HasEligibleWorker(placement.Residency{}), ShouldBeTrue)
 		})
 		Convey("A dispatcher without a region lookup assigns nothing that is bound", t, func() {
 			desk.Region = nil
 			So(assign("north1", placement.Residency{Route: []string{"north"}}), ShouldBeEmpty)
-			So(desk.Reaches(placement.Residency{Route: []string{"north"}}), ShouldBeFalse)
+			So(desk.HasEligibleWorker(placement.Residency{Route: []string{"north"}}), ShouldBeFalse)
 		})
 	})
 }
