--- a/internal/batchrun/local_sink.go
+++ b/internal/batchrun/local_sink.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// Begun implements itemwork.Sink.
-func (s *localSink) Begun(version int64) {
+// StreamStarted implements itemwork.Sink.
+func (s *localSink) StreamStarted(version int64) {
 	s.version = version
 	s.report(func(*itemwork.Report) {})
 }
--- a/internal/itemwork/executor.go
+++ b/internal/itemwork/executor.go
@@ -46,7 +46,7 @@
 // Sink receives the progress of a run. Its methods are called sequentially.
 type Sink interface {
 	// StreamStarted is called with the engine's weight version when its answer begins, and again if another version makes the run outdated.
-	Begun(version int64)
+	StreamStarted(version int64)
 	// EventReceived is called for each event of the stream.
 	Made(event Event)
 	// Restarted is called if the text so far cannot be used.
@@ -178,7 +178,7 @@
 	if answer.WeightVersion > 0 {
 		reader.version = answer.WeightVersion
 	}
-	sink.Begun(reader.version)
+	sink.StreamStarted(reader.version)
 	return reader.read(answer, eventTimer)
 }
 
@@ -256,11 +256,11 @@
 		r.version = version
 	}
 	if r.version < r.bounds.MinVersion {
-		r.sink.Begun(r.version)
+		r.sink.StreamStarted(r.version)
 		return VerdictOutdated, nil
 	}
 	if r.bounds.SingleVersion && r.hasEvents && r.firstVersion != r.version {
-		r.sink.Begun(r.version)
+		r.sink.StreamStarted(r.version)
 		r.sink.Restarted()
 		return VerdictOutdated, nil
 	}
--- a/internal/itemwork/withheld_test.go
+++ b/internal/itemwork/withheld_test.go
@@ -32,7 +32,7 @@
 // endSink records the end of a stream. It implements itemwork.Sink.
 type endSink struct{ end itemwork.End }
 
-func (*endSink) Begun(int64)               {}
+func (*endSink) StreamStarted(int64)       {}
 func (*endSink) Made(itemwork.Event)       {}
 func (*endSink) Restarted()                {}
 func (*endSink) Judged(itemwork.Judgement) {}
--- a/internal/itemwork/worker_run.go
+++ b/internal/itemwork/worker_run.go
@@ -33,7 +33,7 @@
 var _ Sink = (*workerRun)(nil)
 
 // StreamStarted implements Sink.
-func (r *workerRun) Begun(version int64) {
+func (r *workerRun) StreamStarted(version int64) {
 	r.worker.mu.Lock()
 	defer r.worker.mu.Unlock()
 	r.version = version
