--- a/internal/batchrun/local_sink.go
+++ b/internal/batchrun/local_sink.go
@@ -50,8 +50,8 @@
 	s.report(func(*itemwork.Report) {})
 }
 
-// Made implements itemwork.Sink.
-func (s *localSink) Made(event itemwork.Event) {
+// EventReceived implements itemwork.Sink.
+func (s *localSink) EventReceived(event itemwork.Event) {
 	s.version, s.lastID = event.Version, event.ID
 	s.report(func(report *itemwork.Report) {
 		report.Segments = []itemwork.Segment{{Version: event.Version, Events: []string{event.Data}}}
--- a/internal/itemwork/executor.go
+++ b/internal/itemwork/executor.go
@@ -48,7 +48,7 @@
 	// StreamStarted is called with the engine's weight version when its answer begins, and again if another version makes the run outdated.
 	StreamStarted(version int64)
 	// EventReceived is called for each event of the stream.
-	Made(event Event)
+	EventReceived(event Event)
 	// Restarted is called if the text so far cannot be used.
 	Restarted()
 	// StreamEnded is called once when the stream ends; never if the assignment's text was already complete. It returns whether to make the reward
@@ -271,7 +271,7 @@
 		r.hasEvents, r.firstVersion = true, r.version
 	}
 	r.lastID = event.ID
-	r.sink.Made(Event{ID: event.ID, Data: event.Data, Version: r.version, Pause: pause})
+	r.sink.EventReceived(Event{ID: event.ID, Data: event.Data, Version: r.version, Pause: pause})
 	return VerdictNone, nil
 }
 
--- a/internal/itemwork/worker_run.go
+++ b/internal/itemwork/worker_run.go
@@ -40,7 +40,7 @@
 }
 
 // EventReceived implements Sink.
-func (r *workerRun) Made(event Event) {
+func (r *workerRun) EventReceived(event Event) {
 	r.worker.mu.Lock()
 	defer r.worker.mu.Unlock()
 	r.text.Add(event.ID, event.Data, event.Version)
