--- a/internal/batchrun/local_sink.go
+++ b/internal/batchrun/local_sink.go
@@ -75,7 +75,7 @@
 	return !s.released.Load()
 }
 
-// Judged implements itemwork.Sink.
-func (s *localSink) Judged(judgement itemwork.Judgement) {
+// RewardCallEnded implements itemwork.Sink.
+func (s *localSink) RewardCallEnded(judgement itemwork.Judgement) {
 	s.report(func(report *itemwork.Report) { report.Judgement = judgement })
 }
--- a/internal/itemwork/executor.go
+++ b/internal/itemwork/executor.go
@@ -55,7 +55,7 @@
 	// call for a complete text.
 	StreamEnded(end End) (callReward bool)
 	// RewardCallEnded is called once the reward call of a complete text has ended; never for items without one.
-	Judged(judgement Judgement)
+	RewardCallEnded(judgement Judgement)
 }
 
 // Executor carries out assignments.
@@ -94,7 +94,7 @@
 	if assignment.Reward == nil {
 		return
 	}
-	sink.Judged(e.callReward(ctx, assignment.Reward))
+	sink.RewardCallEnded(e.callReward(ctx, assignment.Reward))
 }
 
 // stream sends the item to its engine and reads the answer.
--- a/internal/itemwork/withheld_test.go
+++ b/internal/itemwork/withheld_test.go
@@ -32,10 +32,10 @@
 // endSink records the end of a stream. It implements itemwork.Sink.
 type endSink struct{ end itemwork.End }
 
-func (*endSink) StreamStarted(int64)          {}
-func (*endSink) EventReceived(itemwork.Event) {}
-func (*endSink) Restarted()                   {}
-func (*endSink) Judged(itemwork.Judgement)    {}
+func (*endSink) StreamStarted(int64)                {}
+func (*endSink) EventReceived(itemwork.Event)       {}
+func (*endSink) Restarted()                         {}
+func (*endSink) RewardCallEnded(itemwork.Judgement) {}
 func (s *endSink) StreamEnded(end itemwork.End) bool {
 	s.end = end
 	return false
--- a/internal/itemwork/worker_run.go
+++ b/internal/itemwork/worker_run.go
@@ -81,7 +81,7 @@
 }
 
 // RewardCallEnded implements Sink.
-func (r *workerRun) Judged(judgement Judgement) {
+func (r *workerRun) RewardCallEnded(judgement Judgement) {
 	r.worker.mu.Lock()
 	defer r.worker.mu.Unlock()
 	r.judgement = judgement
