--- a/internal/fleetnode/coordinator.go
+++ b/internal/fleetnode/coordinator.go
@@ -317,7 +317,7 @@
 
 // shareWorkers decides how many gateways run items until ctx ends.
 func (c *coordinator) shareWorkers(ctx context.Context) {
-	var need itemwork.Need
+	var need itemwork.Autoscaler
 	logger := telemetry.For(c.Logger, telemetry.PartBatch)
 	began, learned, told := boottime.Now(), c.hub.LearnedWorkerShare(), 0.0
 	for ctx.Err() == nil {
--- a/internal/itemwork/share.go
+++ b/internal/itemwork/share.go
@@ -21,13 +21,13 @@
 
 // Autoscaler computes how many gateways should run items from the number of open items. It is not safe for concurrent use. The zero value is ready
 // to use.
-type Need struct {
+type Autoscaler struct {
 	// peak is the decaying peak of open items.
 	peak decay.Value
 }
 
 // Share returns the share of the processes that should run items, from 0 to 1; zero means all of them.
-func (n *Need) Share(open, processes int, now time.Time) float64 {
+func (n *Autoscaler) Share(open, processes int, now time.Time) float64 {
 	peak := max(n.peak.At(now, peakDecay), float64(open))
 	n.peak = decay.New(peak, now)
 	steps := math.Ceil(peak / runsPerWorker / workerStep)
--- a/internal/itemwork/share_test.go
+++ b/internal/itemwork/share_test.go
@@ -11,7 +11,7 @@
 	for _, c := range []struct {
 		open, processes, least, most int
 	}{{0, 50, 50, 50}, {5000, 60, 60, 60}, {0, 1000, 64, 64}, {1000, 1000, 128, 128}, {1000, 4000, 128, 128}, {9000, 1000, 1000, 1000}} {
-		var need Need
+		var need Autoscaler
 		share := need.Share(c.open, c.processes, now)
 		if share == 0 {
 			share = 1
@@ -20,7 +20,7 @@
 			t.Errorf("%d open items, %d processes: got %d workers", c.open, c.processes, workers)
 		}
 	}
-	var need Need
+	var need Autoscaler
 	need.Share(4000, 1000, now)
 	if share := need.Share(0, 1000, now.Add(4*time.Second)); share < 0.4 {
 		t.Errorf("4 s after 4,000 items the share is %v", share)
