--- a/internal/fleetnode/gateway.go
+++ b/internal/fleetnode/gateway.go
@@ -120,7 +120,7 @@
 		Draining: stopping.Load,
 		Called: func() bool {
 			share, known := relay.WorkerShare()
-			return known && itemwork.Chosen(config.Node.Name, share)
+			return known && itemwork.InShare(config.Node.Name, share)
 		},
 		Logger: telemetry.For(logger, telemetry.PartBatch),
 	})
--- a/internal/itemwork/share.go
+++ b/internal/itemwork/share.go
@@ -40,7 +40,7 @@
 
 // InShare reports whether a process is part of a share of all, by a hash of its name. A larger share includes the processes of a smaller one, so
 // that few change when the share does. Zero includes all.
-func Chosen(name string, share float64) bool {
+func InShare(name string, share float64) bool {
 	if share <= 0 || share >= 1 {
 		return true
 	}
--- a/internal/itemwork/share_test.go
+++ b/internal/itemwork/share_test.go
@@ -33,10 +33,10 @@
 		chosen, smaller := 0, 0
 		for n := range processes {
 			name := fmt.Sprintf("edge-bne-%d", n)
-			if Chosen(name, 100/float64(processes)) {
+			if InShare(name, 100/float64(processes)) {
 				chosen++
 			}
-			if Chosen(name, 50/float64(processes)) && !Chosen(name, 100/float64(processes)) {
+			if InShare(name, 50/float64(processes)) && !InShare(name, 100/float64(processes)) {
 				smaller++
 			}
 		}
