--- a/internal/fleetnode/gateway.go
+++ b/internal/fleetnode/gateway.go
@@ -113,7 +113,7 @@
 		Report: func(ctx context.Context, address string, request itemwork.ReportRequest) (itemwork.ReportReply, error) {
 			return itemwork.SendReports(ctx, calls, address, request)
 		},
-		MayTell: func(address string, begunBy int64, residency placement.Residency) bool {
+		MayReport: func(address string, begunBy int64, residency placement.Residency) bool {
 			term := watcher.Term()
 			return !residency.Restricted() || term.Address == address && (term.Token == begunBy || residency.Allows(state.View().Topology.Region(term.Zone)))
 		},
--- a/internal/itemwork/withheld_test.go
+++ b/internal/itemwork/withheld_test.go
@@ -211,10 +211,10 @@
 				}
 				return s.poll(ctx, address, request)
 			},
-			Report:   s.report,
-			MayTell:  func(address string, _ int64, _ placement.Residency) bool { return address == coordinator.Load() },
-			Draining: func() bool { return false },
-			Logger:   log.NewNopLogger(),
+			Report:    s.report,
+			MayReport: func(address string, _ int64, _ placement.Residency) bool { return address == coordinator.Load() },
+			Draining:  func() bool { return false },
+			Logger:    log.NewNopLogger(),
 		})
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
--- a/internal/itemwork/worker.go
+++ b/internal/itemwork/worker.go
@@ -46,7 +46,7 @@
 	// MayReport reports whether the process at an address may receive reports of a run that started in a term; nil means always. A process in a
 	// region that the run's residency excludes receives only runs of its own terms: it does not hold the jobs of the others, which a later term may
 	// continue.
-	MayTell func(address string, term int64, residency placement.Residency) bool
+	MayReport func(address string, term int64, residency placement.Residency) bool
 	// Draining is true once the process shuts down; the worker then accepts no new assignments.
 	Draining func() bool
 	// Selected reports whether the coordinator has selected this process to run items; nil means always.
--- a/internal/itemwork/worker_report.go
+++ b/internal/itemwork/worker_report.go
@@ -81,7 +81,7 @@
 
 // mayReport reports whether the process at an address may receive reports of a run.
 func (w *Worker) mayReport(address string, run *workerRun) bool {
-	return w.MayTell == nil || w.MayTell(address, run.assignment.Run.Term, run.assignment.Residency)
+	return w.MayReport == nil || w.MayReport(address, run.assignment.Run.Term, run.assignment.Residency)
 }
 
 // nextReports returns the reports for the process at an address, limited to one call, and whether more is left. term must have been read before the
