--- a/internal/fleetnode/gateway.go
+++ b/internal/fleetnode/gateway.go
@@ -118,7 +118,7 @@
 			return !residency.Restricted() || term.Address == address && (term.Token == begunBy || residency.Allows(state.View().Topology.Region(term.Zone)))
 		},
 		Draining: stopping.Load,
-		Called: func() bool {
+		Selected: func() bool {
 			share, known := relay.WorkerShare()
 			return known && itemwork.InShare(config.Node.Name, share)
 		},
--- a/internal/itemwork/worker.go
+++ b/internal/itemwork/worker.go
@@ -50,8 +50,8 @@
 	// Draining is true once the process shuts down; the worker then accepts no new assignments.
 	Draining func() bool
 	// Selected reports whether the coordinator has selected this process to run items; nil means always.
-	Called func() bool
-	Logger log.Logger
+	Selected func() bool
+	Logger   log.Logger
 }
 
 // Worker carries out runs for the coordinator. It is safe for concurrent use.
@@ -140,7 +140,7 @@
 }
 
 // selected reports whether the worker should accept new runs.
-func (w *Worker) selected() bool { return w.Called == nil || w.Called() }
+func (w *Worker) selected() bool { return w.Selected == nil || w.Selected() }
 
 // mustPoll reports whether the worker has to poll: it is selected, a dispatcher may assign runs to it, or it holds runs to report to a later term.
 func (w *Worker) mustPoll() bool {
