--- a/internal/batchrun/run_end.go
+++ b/internal/batchrun/run_end.go
@@ -98,7 +98,7 @@
 	it := ended.item
 	ended.over = true
 	switch judgement.State {
-	case itemwork.JudgementReached:
+	case itemwork.JudgementScored:
 		r.listResult(it, it.result(judgement.Score))
 	case itemwork.JudgementFailed:
 		level.Info(r.Logger).Log("msg", "item given up", "request", it.ID, "job", it.job.ID, "reason", "reward call failed too often",
--- a/internal/itemwork/executor.go
+++ b/internal/itemwork/executor.go
@@ -303,7 +303,7 @@
 		failures += result.FailedAttempts
 		sent = sent || result.Sent
 		if result.Outcome == forward.Completed && result.Status >= 200 && result.Status < 300 {
-			return Judgement{State: JudgementReached, Score: result.Signature, Failures: failures}
+			return Judgement{State: JudgementScored, Score: result.Signature, Failures: failures}
 		}
 		if failures >= route.MaxAttempts {
 			return Judgement{State: JudgementFailed, Failures: failures}
--- a/internal/itemwork/itemwork.go
+++ b/internal/itemwork/itemwork.go
@@ -121,7 +121,7 @@
 	// JudgementOpen: the call has not ended.
 	JudgementOpen JudgementState = iota
 	// JudgementScored: the call returned a score.
-	JudgementReached
+	JudgementScored
 	// JudgementFailed: the call failed as often as its route allows.
 	JudgementFailed
 	// JudgementAborted: the call was aborted locally; it may be repeated.
--- a/internal/itemwork/reward_test.go
+++ b/internal/itemwork/reward_test.go
@@ -65,7 +65,7 @@
 		time.AfterFunc(4*time.Second, func() { engines.answer(http.StatusOK, false) })
 		began := time.Now()
 		judgement := executor.callReward(t.Context(), reward)
-		if judgement.State != JudgementReached || judgement.Failures != 0 {
+		if judgement.State != JudgementScored || judgement.Failures != 0 {
 			t.Errorf("judgement %+v", judgement)
 		}
 		if took := time.Since(began); took > 10*time.Second {
