--- a/internal/batch/batch.go
+++ b/internal/batch/batch.go
@@ -121,4 +121,4 @@
 }
 
 // VisibleTo reports whether a caller of a tenant may see the job. To other callers it is ErrNotFound.
-func (j *Job) MayBeSeenBy(tenant string) bool { return j.Tenant == "" || j.Tenant == tenant }
+func (j *Job) VisibleTo(tenant string) bool { return j.Tenant == "" || j.Tenant == tenant }
--- a/internal/batchrun/service.go
+++ b/internal/batchrun/service.go
@@ -74,7 +74,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if !found.MayBeSeenBy(ref.Tenant) {
+	if !found.VisibleTo(ref.Tenant) {
 		level.Info(r.Logger).Log("msg", "call refused: job belongs to another tenant", "request", ref.ID, "tenant", ref.Tenant)
 		return nil, batch.ErrNotFound
 	}
