--- a/internal/batchrpc/client.go
+++ b/internal/batchrpc/client.go
@@ -31,7 +31,7 @@
 )
 
 // Coordinator is the location of the coordinator.
-type Leader struct {
+type Coordinator struct {
 	// Address is its internal address; empty if there is no coordinator or it is unknown.
 	Address string
 	// Zone is its zone; empty if unknown.
@@ -42,7 +42,7 @@
 type ClientParams struct {
 	Calls *rpc.Client
 	// Coordinator returns the location of the current coordinator.
-	Leader func() Leader
+	Leader func() Coordinator
 	// State provides the route table, which bounds jobs, and the topology.
 	State  *fleet.State
 	Logger log.Logger
--- a/internal/fleetnode/gateway.go
+++ b/internal/fleetnode/gateway.go
@@ -83,9 +83,9 @@
 func newBatchClient(hooks fx.Lifecycle, calls *rpc.Client, state *fleet.State, watcher *election.Watcher, logger log.Logger) batch.Service {
 	client := batchrpc.NewClient(batchrpc.ClientParams{
 		Calls: calls,
-		Leader: func() batchrpc.Leader {
+		Leader: func() batchrpc.Coordinator {
 			term := watcher.Term()
-			return batchrpc.Leader{Address: term.Address, Zone: term.Zone}
+			return batchrpc.Coordinator{Address: term.Address, Zone: term.Zone}
 		},
 		State:  state,
 		Logger: telemetry.For(logger, telemetry.PartBatch),
--- a/internal/jobresidency/deployment_test.go
+++ b/internal/jobresidency/deployment_test.go
@@ -271,8 +271,8 @@
 	state := d.newState()
 	calls := rpc.NewClient(rpc.Peer{Name: name, Zone: zone}, d.network.dialFrom(zone, name))
 	watcher := election.NewWatcher(metastore.NewFollowers(store), log.NewNopLogger())
-	client := batchrpc.NewClient(batchrpc.ClientParams{Calls: calls, State: state, Logger: log.NewNopLogger(), Leader: func() batchrpc.Leader {
-		return batchrpc.Leader{Address: watcher.Term().Address, Zone: watcher.Term().Zone}
+	client := batchrpc.NewClient(batchrpc.ClientParams{Calls: calls, State: state, Logger: log.NewNopLogger(), Leader: func() batchrpc.Coordinator {
+		return batchrpc.Coordinator{Address: watcher.Term().Address, Zone: watcher.Term().Zone}
 	}})
 	worker := itemwork.NewWorker(itemwork.WorkerParams{
 		Name: name, Zone: zone, Instance: "first", Coordinator: watcher.Holder,
