--- a/internal/batchrpc/client.go
+++ b/internal/batchrpc/client.go
@@ -42,7 +42,7 @@
 type ClientParams struct {
 	Calls *rpc.Client
 	// Coordinator returns the location of the current coordinator.
-	Leader func() Coordinator
+	Coordinator func() Coordinator
 	// State provides the route table, which bounds jobs, and the topology.
 	State  *fleet.State
 	Logger log.Logger
@@ -94,7 +94,7 @@
 		err = codeErrors[reply.Code]
 	}
 	level.Warn(c.Logger).Log("msg", "job excluded from the coordinator's region", "request", job.ID, "tenant", job.Tenant,
-		"zone", c.Leader().Zone, "allowed", fmt.Sprint(c.residency(job).RegionSets()), "taken_earlier", err)
+		"zone", c.Coordinator().Zone, "allowed", fmt.Sprint(c.residency(job).RegionSets()), "taken_earlier", err)
 	if errors.Is(err, batch.ErrNotFound) {
 		return batch.ErrExcluded
 	}
@@ -135,7 +135,7 @@
 
 // submitOnce returns ErrUnavailable if the job may have been accepted, and another error if it was not.
 func (c *Client) submitOnce(ctx context.Context, job batch.Job) error {
-	leader := c.Leader()
+	leader := c.Coordinator()
 	if leader.Address == "" {
 		return errNotLeading
 	}
@@ -199,7 +199,7 @@
 // call makes an idempotent call. wait is the time that the callee may hold it.
 func call[Req, Resp any](ctx context.Context, c *Client, request Req, wait time.Duration) (Resp, error) {
 	var zero Resp
-	address := c.Leader().Address
+	address := c.Coordinator().Address
 	if address == "" {
 		return zero, batch.ErrUnavailable
 	}
--- a/internal/fleetnode/gateway.go
+++ b/internal/fleetnode/gateway.go
@@ -83,7 +83,7 @@
 func newBatchClient(hooks fx.Lifecycle, calls *rpc.Client, state *fleet.State, watcher *election.Watcher, logger log.Logger) batch.Service {
 	client := batchrpc.NewClient(batchrpc.ClientParams{
 		Calls: calls,
-		Leader: func() batchrpc.Coordinator {
+		Coordinator: func() batchrpc.Coordinator {
 			term := watcher.Term()
 			return batchrpc.Coordinator{Address: term.Address, Zone: term.Zone}
 		},
--- a/internal/jobresidency/deployment_test.go
+++ b/internal/jobresidency/deployment_test.go
@@ -271,7 +271,7 @@
 	state := d.newState()
 	calls := rpc.NewClient(rpc.Peer{Name: name, Zone: zone}, d.network.dialFrom(zone, name))
 	watcher := election.NewWatcher(metastore.NewFollowers(store), log.NewNopLogger())
-	client := batchrpc.NewClient(batchrpc.ClientParams{Calls: calls, State: state, Logger: log.NewNopLogger(), Leader: func() batchrpc.Coordinator {
+	client := batchrpc.NewClient(batchrpc.ClientParams{Calls: calls, State: state, Logger: log.NewNopLogger(), Coordinator: func() batchrpc.Coordinator {
 		return batchrpc.Coordinator{Address: watcher.Term().Address, Zone: watcher.Term().Zone}
 	}})
 	worker := itemwork.NewWorker(itemwork.WorkerParams{
