--- a/internal/batchrpc/batchrpc.go
+++ b/internal/batchrpc/batchrpc.go
@@ -118,7 +118,7 @@
 	// Leading reports whether the process is the coordinator.
 	Leading() bool
 	// AnswerPing answers a ping.
-	Standing(request PingRequest) PingReply
+	AnswerPing(request PingRequest) PingReply
 	// YieldTo ends the term of a token.
 	YieldTo(ctx context.Context, instance string, token int64) error
 	// AddRewardRoutes adds bound routes that reward calls use, which the choice of home regions takes into account.
@@ -150,7 +150,7 @@
 		return Reply{Code: toCode(service.End(ctx, request.Job))}, nil
 	})
 	rpc.Handle(server, func(_ context.Context, _ rpc.Peer, request PingRequest) (PingReply, error) {
-		return lease.Standing(request), nil
+		return lease.AnswerPing(request), nil
 	})
 	rpc.Handle(server, func(ctx context.Context, _ rpc.Peer, request YieldRequest) (YieldReply, error) {
 		return YieldReply{Yielded: lease.YieldTo(ctx, request.Instance, request.Token) == nil}, nil
--- a/internal/fleetnode/coordinator.go
+++ b/internal/fleetnode/coordinator.go
@@ -248,8 +248,8 @@
 	return cmp.Or(c.Settings.Listen.Advertise, c.listener.Addr().String())
 }
 
-// Standing implements batchrpc.Lease.
-func (c *coordinator) Standing(request batchrpc.PingRequest) batchrpc.PingReply {
+// AnswerPing implements batchrpc.Lease.
+func (c *coordinator) AnswerPing(request batchrpc.PingRequest) batchrpc.PingReply {
 	c.candidates.Note(request.Candidate)
 	c.Clock.Note(request.Candidate, request.Now)
 	return batchrpc.PingReply{Leading: request.Instance == c.elector.Instance() && c.Leading(), Unserved: c.Outage.Length()}
--- a/internal/jobresidency/deployment_test.go
+++ b/internal/jobresidency/deployment_test.go
@@ -170,7 +170,7 @@
 
 func (c *coordinator) Leading() bool { return c.elector.Leading() }
 
-func (c *coordinator) Standing(request batchrpc.PingRequest) batchrpc.PingReply {
+func (c *coordinator) AnswerPing(request batchrpc.PingRequest) batchrpc.PingReply {
 	return batchrpc.PingReply{Leading: request.Instance == c.elector.Instance() && c.Leading(), Unserved: c.outage.Length()}
 }
 
