--- a/internal/batchrpc/batchrpc.go
+++ b/internal/batchrpc/batchrpc.go
@@ -122,7 +122,7 @@
 	// YieldTo ends the term of a token.
 	YieldTo(ctx context.Context, instance string, token int64) error
 	// AddRewardRoutes adds bound routes that reward calls use, which the choice of home regions takes into account.
-	NoteRewardRoutes(names []string)
+	AddRewardRoutes(names []string)
 }
 
 // Register registers the handlers of a service and a lease with a server.
@@ -131,13 +131,13 @@
 		if !lease.Leading() {
 			return Reply{Code: codeNotLeading}, nil
 		}
-		lease.NoteRewardRoutes(request.RewardRoutes)
+		lease.AddRewardRoutes(request.RewardRoutes)
 		err := service.Submit(ctx, request.Job)
 		return Reply{Code: toCode(err), Excluded: errors.Is(err, batch.ErrExcluded)}, nil
 	})
 	rpc.Handle(server, func(ctx context.Context, _ rpc.Peer, request ReadRequest) (ReadReply, error) {
 		if len(request.RewardRoutes) > 0 && lease.Leading() {
-			lease.NoteRewardRoutes(request.RewardRoutes)
+			lease.AddRewardRoutes(request.RewardRoutes)
 		}
 		reading, err := service.Read(ctx, request.Job, request.Position, request.Wait)
 		return ReadReply{Code: toCode(err), Reading: reading}, nil
--- a/internal/fleetnode/coordinator.go
+++ b/internal/fleetnode/coordinator.go
@@ -260,8 +260,8 @@
 	return c.elector.YieldTo(ctx, instance, token)
 }
 
-// NoteRewardRoutes implements batchrpc.Lease.
-func (c *coordinator) NoteRewardRoutes(names []string) { c.rewards.Note(names) }
+// AddRewardRoutes implements batchrpc.Lease.
+func (c *coordinator) AddRewardRoutes(names []string) { c.rewards.Note(names) }
 
 // errNotLeading reports a process that answers but does not coordinate.
 var errNotLeading = errors.New("not coordinating")
--- a/internal/jobresidency/deployment_test.go
+++ b/internal/jobresidency/deployment_test.go
@@ -174,7 +174,7 @@
 	return batchrpc.PingReply{Leading: request.Instance == c.elector.Instance() && c.Leading(), Unserved: c.outage.Length()}
 }
 
-func (c *coordinator) NoteRewardRoutes(names []string) { c.rewards.Note(names) }
+func (c *coordinator) AddRewardRoutes(names []string) { c.rewards.Note(names) }
 
 func (c *coordinator) YieldTo(ctx context.Context, instance string, token int64) error {
 	return c.elector.YieldTo(ctx, instance, token)
