--- a/internal/coldstart/client.go
+++ b/internal/coldstart/client.go
@@ -56,7 +56,7 @@
 )
 
 // Client requests grants from the coordinator. It implements forward.Quota.
-type Asker struct {
+type Client struct {
 	AskerParams
 
 	mu sync.Mutex
@@ -70,18 +70,18 @@
 	rank    routing.Rank
 }
 
-var _ forward.Quota = (*Asker)(nil)
+var _ forward.Quota = (*Client)(nil)
 
 // NewClient returns a Client.
-func NewAsker(params AskerParams) *Asker {
-	return &Asker{AskerParams: params, suppressed: make(map[suppressionKey]time.Time)}
+func NewAsker(params AskerParams) *Client {
+	return &Client{AskerParams: params, suppressed: make(map[suppressionKey]time.Time)}
 }
 
 // Cold implements forward.Quota.
-func (a *Asker) Cold(engine *fleet.Engine) bool { return a.Warmth.Cold(engine) }
+func (a *Client) Cold(engine *fleet.Engine) bool { return a.Warmth.Cold(engine) }
 
 // Acquire implements forward.Quota.
-func (a *Asker) Acquire(ctx context.Context, engines []*fleet.Engine, rank routing.Rank, until time.Time) *fleet.Engine {
+func (a *Client) Acquire(ctx context.Context, engines []*fleet.Engine, rank routing.Rank, until time.Time) *fleet.Engine {
 	if len(engines) == 0 {
 		return nil
 	}
@@ -92,7 +92,7 @@
 	return engine
 }
 
-func (a *Asker) acquire(ctx context.Context, engines []*fleet.Engine, rank routing.Rank, until time.Time) (*fleet.Engine, Answer) {
+func (a *Client) acquire(ctx context.Context, engines []*fleet.Engine, rank routing.Rank, until time.Time) (*fleet.Engine, Answer) {
 	requested := a.Now()
 	key := suppressionKey{service: engines[0].Service, rank: rank}
 	request := Request{Service: key.service, Rank: rank, Wait: until.Sub(requested)}
@@ -142,14 +142,14 @@
 }
 
 // isSuppressed reports whether Requests are suppressed now.
-func (a *Asker) isSuppressed(key suppressionKey, now time.Time) bool {
+func (a *Client) isSuppressed(key suppressionKey, now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return now.Before(a.suppressed[key])
 }
 
 // suppress suppresses Requests for a service and rank for a time.
-func (a *Asker) suppress(key suppressionKey, now time.Time, length time.Duration) {
+func (a *Client) suppress(key suppressionKey, now time.Time, length time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for known, until := range a.suppressed {
@@ -161,7 +161,7 @@
 }
 
 // logFailed logs a failed Request, at most once per logInterval.
-func (a *Asker) logFailed(service string, now time.Time, err error) {
+func (a *Client) logFailed(service string, now time.Time, err error) {
 	a.mu.Lock()
 	due := now.Sub(a.lastLogged) >= logInterval
 	if due {
--- a/internal/coldstart/limiter_test.go
+++ b/internal/coldstart/limiter_test.go
@@ -130,7 +130,7 @@
 
 func TestClient(t *testing.T) {
 	engine := &fleet.Engine{ID: "a", Service: "s"}
-	play := func(name string, ask func(ctx context.Context, request Request) (Reply, error), check func(a *Asker, answers *[]Answer)) {
+	play := func(name string, ask func(ctx context.Context, request Request) (Reply, error), check func(a *Client, answers *[]Answer)) {
 		synctest.Test(t, func(t *testing.T) {
 			Convey(name, t, func() {
 				var answers []Answer
@@ -142,19 +142,19 @@
 			})
 		})
 	}
-	acquire := func(a *Asker, wait time.Duration) *fleet.Engine {
+	acquire := func(a *Client, wait time.Duration) *fleet.Engine {
 		return a.Acquire(context.Background(), []*fleet.Engine{engine}, routing.Rank{}, boottime.Now().Add(wait))
 	}
 	play("A grant is used while it is valid, counted from the request", func(context.Context, Request) (Reply, error) {
 		time.Sleep(500 * time.Millisecond)
 		return Reply{Leading: true, Engine: "a", Held: 450 * time.Millisecond}, nil
-	}, func(a *Asker, _ *[]Answer) {
+	}, func(a *Client, _ *[]Answer) {
 		So(acquire(a, time.Second), ShouldEqual, engine)
 	})
 	play("A grant that arrives after a suspension of the machine is not used", func(context.Context, Request) (Reply, error) {
 		boottime.SimulateSuspension(2 * time.Second)
 		return Reply{Leading: true, Engine: "a"}, nil
-	}, func(a *Asker, answers *[]Answer) {
+	}, func(a *Client, answers *[]Answer) {
 		So(acquire(a, time.Second), ShouldBeNil)
 		So(*answers, ShouldResemble, []Answer{AnswerLate})
 	})
@@ -162,7 +162,7 @@
 	play("After a refusal no request is sent until RetryAfter has elapsed", func(context.Context, Request) (Reply, error) {
 		asked++
 		return Reply{Leading: true, RetryAfter: 100 * time.Millisecond}, nil
-	}, func(a *Asker, answers *[]Answer) {
+	}, func(a *Client, answers *[]Answer) {
 		for range 5 {
 			So(acquire(a, time.Second), ShouldBeNil)
 			time.Sleep(30 * time.Millisecond)
@@ -196,7 +196,7 @@
 		})
 	}
 	play("Nothing is sent while there is no coordinator", func(context.Context, Request) (Reply, error) { return Reply{}, nil },
-		func(a *Asker, answers *[]Answer) {
+		func(a *Client, answers *[]Answer) {
 			So(acquire(a, time.Second), ShouldBeNil)
 			So(*answers, ShouldResemble, []Answer{AnswerFailed})
 		})
