--- a/internal/coldstart/client.go
+++ b/internal/coldstart/client.go
@@ -27,7 +27,7 @@
 )
 
 // ClientParams are the dependencies of a Client. All but Observe are required.
-type AskerParams struct {
+type ClientParams struct {
 	Warmth *Warmth
 	// Ask sends a Request to the coordinator.
 	Ask func(ctx context.Context, request Request) (Reply, error)
@@ -57,7 +57,7 @@
 
 // Client requests grants from the coordinator. It implements forward.Quota.
 type Client struct {
-	AskerParams
+	ClientParams
 
 	mu sync.Mutex
 	// suppressed maps services and ranks to the moment until which no Request is sent for them.
@@ -73,8 +73,8 @@
 var _ forward.Quota = (*Client)(nil)
 
 // NewClient returns a Client.
-func NewAsker(params AskerParams) *Client {
-	return &Client{AskerParams: params, suppressed: make(map[suppressionKey]time.Time)}
+func NewAsker(params ClientParams) *Client {
+	return &Client{ClientParams: params, suppressed: make(map[suppressionKey]time.Time)}
 }
 
 // Cold implements forward.Quota.
