--- a/internal/coldstart/client.go
+++ b/internal/coldstart/client.go
@@ -73,7 +73,7 @@
 var _ forward.Quota = (*Client)(nil)
 
 // NewClient returns a Client.
-func NewAsker(params ClientParams) *Client {
+func NewClient(params ClientParams) *Client {
 	return &Client{ClientParams: params, suppressed: make(map[suppressionKey]time.Time)}
 }
 
--- a/internal/coldstart/limiter_test.go
+++ b/internal/coldstart/limiter_test.go
@@ -134,7 +134,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			Convey(name, t, func() {
 				var answers []Answer
-				client := NewAsker(ClientParams{
+				client := NewClient(ClientParams{
 					Warmth: NewWarmth(fleet.NewState(), boottime.Now, log.NewNopLogger()), Ask: ask, Now: boottime.Now,
 					Observe: func(answer Answer) { answers = append(answers, answer) }, Logger: log.NewNopLogger(),
 				})
@@ -178,7 +178,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			Convey(name, t, func() {
 				var logged strings.Builder
-				client := NewAsker(ClientParams{
+				client := NewClient(ClientParams{
 					Warmth: NewWarmth(fleet.NewState(), boottime.Now, log.NewNopLogger()), Now: boottime.Now, Logger: log.NewLogfmtLogger(&logged),
 					Ask: func(ctx context.Context, _ Request) (Reply, error) {
 						<-ctx.Done()
--- a/internal/fleetnode/coldstart.go
+++ b/internal/fleetnode/coldstart.go
@@ -31,7 +31,7 @@
 // askGrants makes this process's requests to cold engines wait for grants from ask.
 func askGrants(forwarder *forward.Forwarder, warmth *coldstart.Warmth, observed *metrics, logger log.Logger,
 	ask func(ctx context.Context, request coldstart.Request) (coldstart.Reply, error)) {
-	forwarder.Quota = coldstart.NewAsker(coldstart.ClientParams{
+	forwarder.Quota = coldstart.NewClient(coldstart.ClientParams{
 		Warmth:  warmth,
 		Ask:     ask,
 		Now:     boottime.Now,
