--- a/internal/coldstart/calls.go
+++ b/internal/coldstart/calls.go
@@ -31,7 +31,7 @@
 }
 
 // Register registers a limiter's handler with a server.
-func Register(server *rpc.Server, limiter *Keeper) {
+func Register(server *rpc.Server, limiter *Limiter) {
 	rpc.Handle(server, func(ctx context.Context, _ rpc.Peer, request Request) (Reply, error) {
 		return limiter.Ask(ctx, request), nil
 	})
--- a/internal/coldstart/limiter.go
+++ b/internal/coldstart/limiter.go
@@ -57,7 +57,7 @@
 }
 
 // Limiter issues grants in the coordinator. It is safe for concurrent use.
-type Keeper struct {
+type Limiter struct {
 	KeeperParams
 
 	mu sync.Mutex
@@ -93,12 +93,12 @@
 }
 
 // NewLimiter returns a Limiter, which grants nothing until Lead.
-func NewKeeper(params KeeperParams) *Keeper {
-	return &Keeper{KeeperParams: params, buckets: make(map[string]*bucket), wake: make(chan struct{}, 1)}
+func NewKeeper(params KeeperParams) *Limiter {
+	return &Limiter{KeeperParams: params, buckets: make(map[string]*bucket), wake: make(chan struct{}, 1)}
 }
 
 // Lead issues grants for a term until ctx ends.
-func (k *Keeper) Lead(ctx context.Context) {
+func (k *Limiter) Lead(ctx context.Context) {
 	k.beginTerm()
 	defer k.endTerm()
 	for ctx.Err() == nil {
@@ -113,7 +113,7 @@
 	}
 }
 
-func (k *Keeper) beginTerm() {
+func (k *Limiter) beginTerm() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.leading, k.stale = true, false
@@ -121,7 +121,7 @@
 	k.buckets = make(map[string]*bucket)
 }
 
-func (k *Keeper) endTerm() {
+func (k *Limiter) endTerm() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.leading = false
@@ -132,7 +132,7 @@
 }
 
 // Ask answers a Request once it is granted or cannot be granted in time.
-func (k *Keeper) Ask(ctx context.Context, request Request) Reply {
+func (k *Limiter) Ask(ctx context.Context, request Request) Reply {
 	entry, refused := k.enqueue(request)
 	if refused != nil {
 		return *refused
@@ -148,7 +148,7 @@
 }
 
 // enqueue queues a Request, or returns the Reply if it cannot be granted in time.
-func (k *Keeper) enqueue(request Request) (*waitingRequest, *Reply) {
+func (k *Limiter) enqueue(request Request) (*waitingRequest, *Reply) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.Now()
@@ -175,7 +175,7 @@
 }
 
 // lateBy returns how far beyond its wait a Request at a position in the queue would be granted; zero or less if in time. The mutex must be held.
-func (k *Keeper) lateBy(request Request, position int, now time.Time) time.Duration {
+func (k *Limiter) lateBy(request Request, position int, now time.Time) time.Duration {
 	rate := k.rate(request.Service, now) * float64(len(request.Engines))
 	if rate <= 0 {
 		return maxRetry
@@ -198,7 +198,7 @@
 }
 
 // rate returns the grants per second and engine of a service, reduced by the age of the lease. The mutex must be held.
-func (k *Keeper) rate(service string, now time.Time) float64 {
+func (k *Limiter) rate(service string, now time.Time) float64 {
 	rate := k.Rate(service)
 	switch leaseAge := now.Sub(k.ShownAt()); {
 	case leaseAge > leaseFreshness+StaleLife:
@@ -210,7 +210,7 @@
 }
 
 // bucket returns an engine's bucket, creating a full one if needed. The mutex must be held.
-func (k *Keeper) bucket(engine string) *bucket {
+func (k *Limiter) bucket(engine string) *bucket {
 	known, ok := k.buckets[engine]
 	if !ok {
 		known = &bucket{level: Depth, at: k.Now()}
@@ -220,7 +220,7 @@
 }
 
 // serve issues the grants that are due and returns the pause until the next round.
-func (k *Keeper) serve() time.Duration {
+func (k *Limiter) serve() time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.Now()
@@ -255,7 +255,7 @@
 }
 
 // choose returns an engine that may be granted to a Request now, or the time until one may be available. It takes no token. The mutex must be held.
-func (k *Keeper) choose(request Request, now time.Time) (engine string, wait time.Duration) {
+func (k *Limiter) choose(request Request, now time.Time) (engine string, wait time.Duration) {
 	rate := k.rate(request.Service, now)
 	wait = maxServePause
 	if rate <= 0 {
@@ -282,7 +282,7 @@
 
 // reply returns the Reply for a grant. Held ends when the grant was issued, not now: if the process was suspended in between, others may have been
 // granted since.
-func (k *Keeper) reply(entry *waitingRequest, given grant) Reply {
+func (k *Limiter) reply(entry *waitingRequest, given grant) Reply {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if given.engine == "" {
@@ -291,14 +291,14 @@
 	return Reply{Leading: k.leading, Engine: given.engine, Held: given.at.Sub(entry.enqueuedAt)}
 }
 
-func (k *Keeper) dequeue(entry *waitingRequest) {
+func (k *Limiter) dequeue(entry *waitingRequest) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.waiting = slices.DeleteFunc(k.waiting, func(known *waitingRequest) bool { return known == entry })
 }
 
 // Free reports whether Take would grant a send now.
-func (k *Keeper) Free(service, engine string, rank routing.Rank) bool {
+func (k *Limiter) Free(service, engine string, rank routing.Rank) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.free(service, engine, rank)
@@ -306,7 +306,7 @@
 
 // Take grants one send of this process to an engine. It returns false if no grant is available now or a waiting Request of at least the same
 // urgency competes for it.
-func (k *Keeper) Take(service, engine string, rank routing.Rank) bool {
+func (k *Limiter) Take(service, engine string, rank routing.Rank) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if !k.free(service, engine, rank) {
@@ -319,7 +319,7 @@
 }
 
 // free implements Free. The mutex must be held.
-func (k *Keeper) free(service, engine string, rank routing.Rank) bool {
+func (k *Limiter) free(service, engine string, rank routing.Rank) bool {
 	if !k.leading {
 		return false
 	}
@@ -336,7 +336,7 @@
 }
 
 // logStale logs when the age of the lease starts or stops reducing the grants. The mutex must be held.
-func (k *Keeper) logStale(now time.Time) {
+func (k *Limiter) logStale(now time.Time) {
 	leaseAge := now.Sub(k.ShownAt())
 	if stale := leaseAge > leaseFreshness; stale != k.stale {
 		k.stale = stale
@@ -345,14 +345,14 @@
 }
 
 // Waiting returns the number of waiting Requests.
-func (k *Keeper) Waiting() int {
+func (k *Limiter) Waiting() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return len(k.waiting)
 }
 
 // Counts returns the total decisions so far.
-func (k *Keeper) Counts() Counts {
+func (k *Limiter) Counts() Counts {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.counts
--- a/internal/coldstart/limiter_test.go
+++ b/internal/coldstart/limiter_test.go
@@ -18,7 +18,7 @@
 )
 
 // runLimiter runs a scenario with a leading limiter in virtual time. shown sets when the store last confirmed the lease.
-func runLimiter(t *testing.T, name string, rate float64, play func(k *Keeper, shown *time.Time)) {
+func runLimiter(t *testing.T, name string, rate float64, play func(k *Limiter, shown *time.Time)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		Convey(name, t, func() {
@@ -51,7 +51,7 @@
 
 func TestLimiter(t *testing.T) {
 	ctx := context.Background()
-	runLimiter(t, "A new term gives no grant until those of the former term have expired", 10, func(k *Keeper, _ *time.Time) {
+	runLimiter(t, "A new term gives no grant until those of the former term have expired", 10, func(k *Limiter, _ *time.Time) {
 		began := boottime.Now()
 		So(k.Ask(ctx, oneRequest(100*time.Millisecond)).Engine, ShouldBeEmpty)
 		So(boottime.Since(began), ShouldBeZeroValue)
@@ -61,7 +61,7 @@
 		So(boottime.Since(began), ShouldEqual, termStartDelay)
 		So(reply.Held, ShouldEqual, termStartDelay)
 	})
-	runLimiter(t, "Grants are given at the rate, by urgency and then in order of arrival", 10, func(k *Keeper, _ *time.Time) {
+	runLimiter(t, "Grants are given at the rate, by urgency and then in order of arrival", 10, func(k *Limiter, _ *time.Time) {
 		time.Sleep(termStartDelay)
 		So(k.Take("s", "a", routing.Rank{}), ShouldBeTrue)
 		var mu sync.Mutex
@@ -86,7 +86,7 @@
 		So(order, ShouldResemble, []int{3, 1, 2, 0})
 		So(boottime.Since(began), ShouldBeBetween, 399*time.Millisecond, 410*time.Millisecond)
 	})
-	runLimiter(t, "A request that cannot be granted in time is refused at once, and one whose caller has disconnected takes no grant", 2, func(k *Keeper, _ *time.Time) {
+	runLimiter(t, "A request that cannot be granted in time is refused at once, and one whose caller has disconnected takes no grant", 2, func(k *Limiter, _ *time.Time) {
 		time.Sleep(termStartDelay)
 		So(k.Take("s", "a", routing.Rank{}), ShouldBeTrue)
 		began := boottime.Now()
@@ -99,7 +99,7 @@
 		So(k.Waiting(), ShouldEqual, 0)
 		So(k.Take("s", "a", routing.Rank{}), ShouldBeTrue)
 	})
-	runLimiter(t, "A coordinator whose lease the store has not confirmed for a while reduces its grants, then stops them", 10, func(k *Keeper, shown *time.Time) {
+	runLimiter(t, "A coordinator whose lease the store has not confirmed for a while reduces its grants, then stops them", 10, func(k *Limiter, shown *time.Time) {
 		time.Sleep(termStartDelay)
 		*shown = boottime.Now()
 		grants := func(length time.Duration) (given int) {
@@ -117,7 +117,7 @@
 		time.Sleep(StaleLife)
 		So(grants(2*time.Second), ShouldEqual, 0)
 	})
-	runLimiter(t, "The queue is bounded", 1000, func(k *Keeper, _ *time.Time) {
+	runLimiter(t, "The queue is bounded", 1000, func(k *Limiter, _ *time.Time) {
 		var asking sync.WaitGroup
 		for range 2 * maxWaiting {
 			asking.Go(func() { k.Ask(ctx, oneRequest(10*time.Second)) })
--- a/internal/coldstart/local_quota.go
+++ b/internal/coldstart/local_quota.go
@@ -8,7 +8,7 @@
 // LocalQuota grants sends to items that the coordinator places itself. It never waits.
 type Placer struct {
 	Warmth *Warmth
-	Keeper *Keeper
+	Keeper *Limiter
 }
 
 // Cold reports whether a request to the engine needs a grant now.
--- a/internal/coldstart/schedules_test.go
+++ b/internal/coldstart/schedules_test.go
@@ -91,7 +91,7 @@
 	dead    bool
 	// coordinator is the coordinator that a gateway calls, and limiter the limiter of a candidate.
 	coordinator *process
-	limiter     *Keeper
+	limiter     *Limiter
 	// cut is true while a candidate cannot reach the store.
 	cut     bool
 	shownAt time.Time
--- a/internal/fleetnode/coordinator.go
+++ b/internal/fleetnode/coordinator.go
@@ -52,7 +52,7 @@
 }
 
 func newRunner(config settings.Fleet, state *fleet.State, transport forward.Transport, forwarder *forward.Forwarder,
-	guard *quarantine.Guard, store metastore.Client, desk *itemwork.Dispatcher, warmth *coldstart.Warmth, grants *coldstart.Keeper, observed *metrics,
+	guard *quarantine.Guard, store metastore.Client, desk *itemwork.Dispatcher, warmth *coldstart.Warmth, grants *coldstart.Limiter, observed *metrics,
 	logger log.Logger) *batchrun.Runner {
 	return batchrun.New(batchrun.Params{
 		State:        state,
@@ -113,7 +113,7 @@
 	Held      *quarantine.Keeper
 	Zones     *zonestatus.Status
 	Warmth    *coldstart.Warmth
-	Grants    *coldstart.Keeper
+	Grants    *coldstart.Limiter
 	Metrics   *metrics
 	Registry  *prometheus.Registry
 	Calls     *rpc.Client
