--- a/internal/coldstart/limiter.go
+++ b/internal/coldstart/limiter.go
@@ -46,7 +46,7 @@
 )
 
 // LimiterParams are the dependencies of a Limiter. All are required.
-type KeeperParams struct {
+type LimiterParams struct {
 	// Rate returns the cold rate of a service, in requests per second and engine; zero means that nothing is granted.
 	Rate func(service string) float64
 	// ShownAt returns when, by Now, the store last confirmed this process's lease.
@@ -58,7 +58,7 @@
 
 // Limiter issues grants in the coordinator. It is safe for concurrent use.
 type Limiter struct {
-	KeeperParams
+	LimiterParams
 
 	mu sync.Mutex
 	// leading is true during a term; grantsFrom is when its first grant may be given.
@@ -93,8 +93,8 @@
 }
 
 // NewLimiter returns a Limiter, which grants nothing until Lead.
-func NewKeeper(params KeeperParams) *Limiter {
-	return &Limiter{KeeperParams: params, buckets: make(map[string]*bucket), wake: make(chan struct{}, 1)}
+func NewKeeper(params LimiterParams) *Limiter {
+	return &Limiter{LimiterParams: params, buckets: make(map[string]*bucket), wake: make(chan struct{}, 1)}
 }
 
 // Lead issues grants for a term until ctx ends.
