--- a/internal/coldstart/limiter.go
+++ b/internal/coldstart/limiter.go
@@ -93,7 +93,7 @@
 }
 
 // NewLimiter returns a Limiter, which grants nothing until Lead.
-func NewKeeper(params LimiterParams) *Limiter {
+func NewLimiter(params LimiterParams) *Limiter {
 	return &Limiter{LimiterParams: params, buckets: make(map[string]*bucket), wake: make(chan struct{}, 1)}
 }
 
--- a/internal/coldstart/limiter_test.go
+++ b/internal/coldstart/limiter_test.go
@@ -23,7 +23,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		Convey(name, t, func() {
 			var shown time.Time
-			limiter := NewKeeper(LimiterParams{
+			limiter := NewLimiter(LimiterParams{
 				Rate: func(string) float64 { return rate },
 				ShownAt: func() time.Time {
 					if shown.IsZero() {
--- a/internal/coldstart/schedules_test.go
+++ b/internal/coldstart/schedules_test.go
@@ -168,7 +168,7 @@
 // lead makes a new candidate the coordinator.
 func (s *schedule) lead() {
 	p := &process{shownAt: s.now, pending: make(map[*waitingRequest]func(grant))}
-	p.limiter = NewKeeper(LimiterParams{
+	p.limiter = NewLimiter(LimiterParams{
 		Rate:    func(string) float64 { return s.rate },
 		ShownAt: func() time.Time { return p.shownAt },
 		Now:     func() time.Time { return s.now },
--- a/internal/fleetnode/coldstart.go
+++ b/internal/fleetnode/coldstart.go
@@ -55,7 +55,7 @@
 // newGrants returns the Keeper that gives grants while this process coordinates; requests of this process ask it directly.
 func newGrants(forwarder *forward.Forwarder, warmth *coldstart.Warmth, registry *prometheus.Registry, observed *metrics,
 	logger log.Logger) *coldstart.Limiter {
-	keeper := coldstart.NewKeeper(coldstart.LimiterParams{
+	keeper := coldstart.NewLimiter(coldstart.LimiterParams{
 		Rate: warmth.Rate,
 		// The hub is made later; start replaces this.
 		ShownAt: func() time.Time { return time.Time{} },
