--- a/internal/batchrun/cold_test.go
+++ b/internal/batchrun/cold_test.go
@@ -35,7 +35,7 @@
 		{ID: "j", Service: "judges", Slots: 64, Ready: true},
 	})
 	warmth := coldstart.NewWarmth(h.state, boottime.Now, log.NewNopLogger())
-	keeper := coldstart.NewLimiter(coldstart.LimiterParams{Rate: warmth.Rate, ShownAt: boottime.Now, Now: boottime.Now, Logger: log.NewNopLogger()})
+	keeper := coldstart.NewLimiter(coldstart.LimiterParams{Rate: warmth.Rate, LeaseConfirmedAt: boottime.Now, Now: boottime.Now, Logger: log.NewNopLogger()})
 	h.quota = coldstart.Placer{Warmth: warmth, Keeper: keeper}
 	var leading sync.WaitGroup
 	leading.Go(func() { keeper.Lead(ctx) })
--- a/internal/coldstart/calls_test.go
+++ b/internal/coldstart/calls_test.go
@@ -17,7 +17,7 @@
 func TestCalls(t *testing.T) {
 	Convey("Grants are requested over a connection, and a process that is not the coordinator says so", t, func() {
 		limiter := NewLimiter(LimiterParams{
-			Rate: func(string) float64 { return 14 }, ShownAt: boottime.Now, Logger: log.NewNopLogger(),
+			Rate: func(string) float64 { return 14 }, LeaseConfirmedAt: boottime.Now, Logger: log.NewNopLogger(),
 			Now: boottime.Now,
 		})
 		server := rpc.NewServer(log.NewNopLogger())
--- a/internal/coldstart/limiter.go
+++ b/internal/coldstart/limiter.go
@@ -49,8 +49,8 @@
 type LimiterParams struct {
 	// Rate returns the cold rate of a service, in requests per second and engine; zero means that nothing is granted.
 	Rate func(service string) float64
-	// ShownAt returns when, by Now, the store last confirmed this process's lease.
-	ShownAt func() time.Time
+	// LeaseConfirmedAt returns when, by Now, the store last confirmed this process's lease.
+	LeaseConfirmedAt func() time.Time
 	// Now is a clock that includes time during which the machine is suspended.
 	Now    func() time.Time
 	Logger log.Logger
@@ -200,7 +200,7 @@
 // rate returns the grants per second and engine of a service, reduced by the age of the lease. The mutex must be held.
 func (k *Limiter) rate(service string, now time.Time) float64 {
 	rate := k.Rate(service)
-	switch leaseAge := now.Sub(k.ShownAt()); {
+	switch leaseAge := now.Sub(k.LeaseConfirmedAt()); {
 	case leaseAge > leaseFreshness+StaleLife:
 		return 0
 	case leaseAge > leaseFreshness:
@@ -337,7 +337,7 @@
 
 // logStale logs when the age of the lease starts or stops reducing the grants. The mutex must be held.
 func (k *Limiter) logStale(now time.Time) {
-	leaseAge := now.Sub(k.ShownAt())
+	leaseAge := now.Sub(k.LeaseConfirmedAt())
 	if stale := leaseAge > leaseFreshness; stale != k.stale {
 		k.stale = stale
 		level.Info(k.Logger).Log("msg", "cold-start grant rate changed", "reduced", stale, "lease_age", leaseAge.Round(time.Millisecond), "waiting", len(k.waiting))
--- a/internal/coldstart/limiter_test.go
+++ b/internal/coldstart/limiter_test.go
@@ -25,7 +25,7 @@
 			var shown time.Time
 			limiter := NewLimiter(LimiterParams{
 				Rate: func(string) float64 { return rate },
-				ShownAt: func() time.Time {
+				LeaseConfirmedAt: func() time.Time {
 					if shown.IsZero() {
 						return boottime.Now()
 					}
--- a/internal/coldstart/replay_test.go
+++ b/internal/coldstart/replay_test.go
@@ -152,7 +152,7 @@
 	route := routing.Route{Host: "h", Prefix: "/", Kind: routing.KindIdempotent, MaxAttempts: 2, LatencyObjective: 2 * time.Second, Targets: []routing.Target{{Service: "s", Weight: 1}}}
 	table := routing.NewTable(1, []routing.Route{route}, []routing.Service{{Name: "s", ColdStart: replayColdTime, ColdRate: replayRate}}, routing.Limits{})
 	limiter := coldstart.NewLimiter(coldstart.LimiterParams{
-		Rate: func(string) float64 { return replayRate }, ShownAt: boottime.Now, Now: boottime.Now, Logger: log.NewNopLogger(),
+		Rate: func(string) float64 { return replayRate }, LeaseConfirmedAt: boottime.Now, Now: boottime.Now, Logger: log.NewNopLogger(),
 	})
 	running.Go(func() { limiter.Lead(ctx) })
 	var ends, all atomic.Int64
--- a/internal/coldstart/schedules_test.go
+++ b/internal/coldstart/schedules_test.go
@@ -169,10 +169,10 @@
 func (s *schedule) lead() {
 	p := &process{shownAt: s.now, pending: make(map[*waitingRequest]func(grant))}
 	p.limiter = NewLimiter(LimiterParams{
-		Rate:    func(string) float64 { return s.rate },
-		ShownAt: func() time.Time { return p.shownAt },
-		Now:     func() time.Time { return s.now },
-		Logger:  log.NewNopLogger(),
+		Rate:             func(string) float64 { return s.rate },
+		LeaseConfirmedAt: func() time.Time { return p.shownAt },
+		Now:              func() time.Time { return s.now },
+		Logger:           log.NewNopLogger(),
 	})
 	p.limiter.beginTerm()
 	s.leader = p
--- a/internal/fleetnode/coldstart.go
+++ b/internal/fleetnode/coldstart.go
@@ -58,9 +58,9 @@
 	keeper := coldstart.NewLimiter(coldstart.LimiterParams{
 		Rate: warmth.Rate,
 		// The hub is made later; start replaces this.
-		ShownAt: func() time.Time { return time.Time{} },
-		Now:     boottime.Now,
-		Logger:  telemetry.For(logger, telemetry.PartFleet),
+		LeaseConfirmedAt: func() time.Time { return time.Time{} },
+		Now:              boottime.Now,
+		Logger:           telemetry.For(logger, telemetry.PartFleet),
 	})
 	registerGauge(registry, "cold_grants_waiting", "Requests of all processes that wait for a cold engine.", keeper.Waiting)
 	registerCount(registry, "cold_grants_total", "Sends to cold engines that this process has granted.", func() int64 { return keeper.Counts().Granted })
