--- a/internal/coldstart/client.go
+++ b/internal/coldstart/client.go
@@ -28,7 +28,7 @@
 
 // ClientParams are the dependencies of a Client. All but Observe are required.
 type ClientParams struct {
-	Warmth *Warmth
+	Warmth *Tracker
 	// Ask sends a Request to the coordinator.
 	Ask func(ctx context.Context, request Request) (Reply, error)
 	// Now is a clock that includes time during which the machine is suspended.
--- a/internal/coldstart/local_quota.go
+++ b/internal/coldstart/local_quota.go
@@ -7,7 +7,7 @@
 
 // LocalQuota grants sends to items that the coordinator places itself. It never waits.
 type Placer struct {
-	Warmth *Warmth
+	Warmth *Tracker
 	Keeper *Limiter
 }
 
--- a/internal/coldstart/tracker.go
+++ b/internal/coldstart/tracker.go
@@ -44,7 +44,7 @@
 )
 
 // Tracker determines which engines are cold. It is safe for concurrent use.
-type Warmth struct {
+type Tracker struct {
 	state  *fleet.State
 	now    func() time.Time
 	logger log.Logger
@@ -75,14 +75,14 @@
 }
 
 // NewTracker returns a Tracker of the engines of a state. now must be a clock that includes time during which the machine is suspended.
-func NewWarmth(state *fleet.State, now func() time.Time, logger log.Logger) *Warmth {
-	w := &Warmth{state: state, now: now, logger: logger, engines: make(map[string]*engineRecord), listed: make(map[string]struct{})}
+func NewWarmth(state *fleet.State, now func() time.Time, logger log.Logger) *Tracker {
+	w := &Tracker{state: state, now: now, logger: logger, engines: make(map[string]*engineRecord), listed: make(map[string]struct{})}
 	w.cold.Store(&map[string]time.Time{})
 	return w
 }
 
 // Run processes the views of the state until ctx ends. Cold processes a new view itself if Run has not yet done so.
-func (w *Warmth) Run(ctx context.Context) {
+func (w *Tracker) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		_, changed := w.state.Changed()
 		w.observe()
@@ -96,14 +96,14 @@
 }
 
 // Relist makes new engines of the next view count as listed before, not as just started. Call it after a gap in following the deployment.
-func (w *Warmth) Relist() {
+func (w *Tracker) Relist() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	clear(w.listed)
 }
 
 // Cold reports whether an engine is cold now.
-func (w *Warmth) Cold(engine *fleet.Engine) bool {
+func (w *Tracker) Cold(engine *fleet.Engine) bool {
 	if w.state.View() != w.seen.Load() {
 		w.observe()
 	}
@@ -112,10 +112,10 @@
 }
 
 // Count returns the number of cold engines.
-func (w *Warmth) Count() int { return len(*w.cold.Load()) }
+func (w *Tracker) Count() int { return len(*w.cold.Load()) }
 
 // Rate returns the cold rate of a service, in requests per second and engine; zero if its engines are never cold or the service is unknown.
-func (w *Warmth) Rate(service string) float64 {
+func (w *Tracker) Rate(service string) float64 {
 	return coldService(w.state.View().Routes, service).ColdRate
 }
 
@@ -142,7 +142,7 @@
 
 // observe updates the records from the current view unless that was already done. It reads the view under the mutex: processing an older view after
 // a newer one would make a zone appear restored.
-func (w *Warmth) observe() {
+func (w *Tracker) observe() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	view := w.state.View()
@@ -182,7 +182,7 @@
 }
 
 // restored returns the zones whose evacuation ended since the last view, and stores the evacuated ones. The mutex must be held.
-func (w *Warmth) restored(evacuations *fleet.Evacuations) map[string]struct{} {
+func (w *Tracker) restored(evacuations *fleet.Evacuations) map[string]struct{} {
 	if evacuations == nil {
 		return nil
 	}
@@ -200,7 +200,7 @@
 }
 
 // observeEngine updates an engine's record from its entry. The mutex must be held.
-func (w *Warmth) observeEngine(engine *fleet.Engine, coldStart time.Duration, now time.Time) {
+func (w *Tracker) observeEngine(engine *fleet.Engine, coldStart time.Duration, now time.Time) {
 	record, known := w.engines[engine.ID]
 	if !known {
 		record = &engineRecord{}
@@ -245,14 +245,14 @@
 }
 
 // logChange logs a change of an engine's cold state and its cause. The mutex must be held.
-func (w *Warmth) logChange(id string, cause Cause, now time.Time) {
+func (w *Tracker) logChange(id string, cause Cause, now time.Time) {
 	record := w.engines[id]
 	level.Info(w.logger).Log("msg", "engine cold state changed", "engine", id, "cold", now.Before(record.until), "cause", cause,
 		"for", max(record.until.Sub(now), 0).Round(time.Millisecond), "entry_rest", record.entry, "entry_age", now.Sub(record.entryAt).Round(time.Millisecond))
 }
 
 // sweep removes engines whose cold time has elapsed from the set of cold engines.
-func (w *Warmth) sweep() {
+func (w *Tracker) sweep() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := w.now()
@@ -265,7 +265,7 @@
 }
 
 // publish replaces the set of cold engines. The mutex must be held.
-func (w *Warmth) publish(now time.Time) {
+func (w *Tracker) publish(now time.Time) {
 	cold := make(map[string]time.Time)
 	for id, record := range w.engines {
 		if now.Before(record.until) {
--- a/internal/coldstart/tracker_test.go
+++ b/internal/coldstart/tracker_test.go
@@ -13,13 +13,13 @@
 
 // testTracker is a Tracker with a clock and a state that a test sets.
 type testTracker struct {
-	*Warmth
+	*Tracker
 	clock time.Time
 }
 
 func newTestTracker() *testTracker {
 	s := &testTracker{clock: time.Unix(1000, 0)}
-	s.Warmth = NewWarmth(fleet.NewState(), func() time.Time { return s.clock }, log.NewNopLogger())
+	s.Tracker = NewWarmth(fleet.NewState(), func() time.Time { return s.clock }, log.NewNopLogger())
 	s.state.SetRoutes(routing.NewTable(1, nil, []routing.Service{{Name: "s", ColdStart: 4 * time.Second, ColdRate: 3}, {Name: "always-warm"}}, routing.Limits{}))
 	return s
 }
--- a/internal/fleetnode/coldstart.go
+++ b/internal/fleetnode/coldstart.go
@@ -18,7 +18,7 @@
 )
 
 // newWarmth returns the record of which engines are cold, which follows the state from start to stop.
-func newWarmth(hooks fx.Lifecycle, group *tasks, state *fleet.State, registry *prometheus.Registry, logger log.Logger) *coldstart.Warmth {
+func newWarmth(hooks fx.Lifecycle, group *tasks, state *fleet.State, registry *prometheus.Registry, logger log.Logger) *coldstart.Tracker {
 	warmth := coldstart.NewWarmth(state, boottime.Now, telemetry.For(logger, telemetry.PartFleet))
 	registerGauge(registry, "cold_engines", "Engines that this process takes for cold.", warmth.Count)
 	hooks.Append(fx.Hook{OnStart: func(context.Context) error {
@@ -29,7 +29,7 @@
 }
 
 // askGrants makes this process's requests to cold engines wait for grants from ask.
-func askGrants(forwarder *forward.Forwarder, warmth *coldstart.Warmth, observed *metrics, logger log.Logger,
+func askGrants(forwarder *forward.Forwarder, warmth *coldstart.Tracker, observed *metrics, logger log.Logger,
 	ask func(ctx context.Context, request coldstart.Request) (coldstart.Reply, error)) {
 	forwarder.Quota = coldstart.NewClient(coldstart.ClientParams{
 		Warmth:  warmth,
@@ -41,7 +41,7 @@
 }
 
 // askCoordinator makes a gateway ask the coordinating process for grants. The zero Reply says that nobody coordinates.
-func askCoordinator(forwarder *forward.Forwarder, warmth *coldstart.Warmth, calls *rpc.Client, watcher *election.Watcher, observed *metrics,
+func askCoordinator(forwarder *forward.Forwarder, warmth *coldstart.Tracker, calls *rpc.Client, watcher *election.Watcher, observed *metrics,
 	logger log.Logger) {
 	askGrants(forwarder, warmth, observed, logger, func(ctx context.Context, request coldstart.Request) (coldstart.Reply, error) {
 		address := watcher.Holder()
@@ -53,7 +53,7 @@
 }
 
 // newGrants returns the Keeper that gives grants while this process coordinates; requests of this process ask it directly.
-func newGrants(forwarder *forward.Forwarder, warmth *coldstart.Warmth, registry *prometheus.Registry, observed *metrics,
+func newGrants(forwarder *forward.Forwarder, warmth *coldstart.Tracker, registry *prometheus.Registry, observed *metrics,
 	logger log.Logger) *coldstart.Limiter {
 	keeper := coldstart.NewLimiter(coldstart.LimiterParams{
 		Rate: warmth.Rate,
--- a/internal/fleetnode/coordinator.go
+++ b/internal/fleetnode/coordinator.go
@@ -52,7 +52,7 @@
 }
 
 func newRunner(config settings.Fleet, state *fleet.State, transport forward.Transport, forwarder *forward.Forwarder,
-	guard *quarantine.Guard, store metastore.Client, desk *itemwork.Dispatcher, warmth *coldstart.Warmth, grants *coldstart.Limiter, observed *metrics,
+	guard *quarantine.Guard, store metastore.Client, desk *itemwork.Dispatcher, warmth *coldstart.Tracker, grants *coldstart.Limiter, observed *metrics,
 	logger log.Logger) *batchrun.Runner {
 	return batchrun.New(batchrun.Params{
 		State:        state,
@@ -112,7 +112,7 @@
 	Duties    *duties
 	Held      *quarantine.Keeper
 	Zones     *zonestatus.Status
-	Warmth    *coldstart.Warmth
+	Warmth    *coldstart.Tracker
 	Grants    *coldstart.Limiter
 	Metrics   *metrics
 	Registry  *prometheus.Registry
