--- a/internal/batchrun/cold_test.go
+++ b/internal/batchrun/cold_test.go
@@ -34,7 +34,7 @@
 		{ID: "a", Service: "pool", Slots: 64, Ready: true, Versions: map[string]int64{model: 1}, ColdRemaining: length},
 		{ID: "j", Service: "judges", Slots: 64, Ready: true},
 	})
-	warmth := coldstart.NewWarmth(h.state, boottime.Now, log.NewNopLogger())
+	warmth := coldstart.NewTracker(h.state, boottime.Now, log.NewNopLogger())
 	keeper := coldstart.NewLimiter(coldstart.LimiterParams{Rate: warmth.Rate, LeaseConfirmedAt: boottime.Now, Now: boottime.Now, Logger: log.NewNopLogger()})
 	h.quota = coldstart.Placer{Warmth: warmth, Keeper: keeper}
 	var leading sync.WaitGroup
--- a/internal/coldstart/replay_test.go
+++ b/internal/coldstart/replay_test.go
@@ -163,7 +163,7 @@
 		state.SetEngineList(r.entries())
 		forwarder := forward.New(state, r, forward.NewPicker(time.Now), log.NewNopLogger())
 		if shared {
-			warmth := coldstart.NewWarmth(state, boottime.Now, log.NewNopLogger())
+			warmth := coldstart.NewTracker(state, boottime.Now, log.NewNopLogger())
 			running.Go(func() { warmth.Run(ctx) })
 			forwarder.Quota = coldstart.NewClient(coldstart.ClientParams{Warmth: warmth, Now: boottime.Now, Logger: log.NewNopLogger(),
 				Ask: func(ctx context.Context, request coldstart.Request) (coldstart.Reply, error) {
--- a/internal/coldstart/tracker.go
+++ b/internal/coldstart/tracker.go
@@ -75,7 +75,7 @@
 }
 
 // NewTracker returns a Tracker of the engines of a state. now must be a clock that includes time during which the machine is suspended.
-func NewWarmth(state *fleet.State, now func() time.Time, logger log.Logger) *Tracker {
+func NewTracker(state *fleet.State, now func() time.Time, logger log.Logger) *Tracker {
 	w := &Tracker{state: state, now: now, logger: logger, engines: make(map[string]*engineRecord), listed: make(map[string]struct{})}
 	w.cold.Store(&map[string]time.Time{})
 	return w
--- a/internal/coldstart/tracker_test.go
+++ b/internal/coldstart/tracker_test.go
@@ -19,7 +19,7 @@
 
 func newTestTracker() *testTracker {
 	s := &testTracker{clock: time.Unix(1000, 0)}
-	s.Tracker = NewWarmth(fleet.NewState(), func() time.Time { return s.clock }, log.NewNopLogger())
+	s.Tracker = NewTracker(fleet.NewState(), func() time.Time { return s.clock }, log.NewNopLogger())
 	s.state.SetRoutes(routing.NewTable(1, nil, []routing.Service{{Name: "s", ColdStart: 4 * time.Second, ColdRate: 3}, {Name: "always-warm"}}, routing.Limits{}))
 	return s
 }
--- a/internal/fleetnode/coldstart.go
+++ b/internal/fleetnode/coldstart.go
@@ -19,7 +19,7 @@
 
 // newWarmth returns the record of which engines are cold, which follows the state from start to stop.
 func newWarmth(hooks fx.Lifecycle, group *tasks, state *fleet.State, registry *prometheus.Registry, logger log.Logger) *coldstart.Tracker {
-	warmth := coldstart.NewWarmth(state, boottime.Now, telemetry.For(logger, telemetry.PartFleet))
+	warmth := coldstart.NewTracker(state, boottime.Now, telemetry.For(logger, telemetry.PartFleet))
 	registerGauge(registry, "cold_engines", "Engines that this process takes for cold.", warmth.Count)
 	hooks.Append(fx.Hook{OnStart: func(context.Context) error {
 		group.run(warmth.Run)
