--- a/internal/coldstart/client.go
+++ b/internal/coldstart/client.go
@@ -28,7 +28,7 @@
 
 // ClientParams are the dependencies of a Client. All but Observe are required.
 type ClientParams struct {
-	Warmth *Tracker
+	Tracker *Tracker
 	// Ask sends a Request to the coordinator.
 	Ask func(ctx context.Context, request Request) (Reply, error)
 	// Now is a clock that includes time during which the machine is suspended.
@@ -78,7 +78,7 @@
 }
 
 // Cold implements forward.Quota.
-func (a *Client) Cold(engine *fleet.Engine) bool { return a.Warmth.Cold(engine) }
+func (a *Client) Cold(engine *fleet.Engine) bool { return a.Tracker.Cold(engine) }
 
 // Acquire implements forward.Quota.
 func (a *Client) Acquire(ctx context.Context, engines []*fleet.Engine, rank routing.Rank, until time.Time) *fleet.Engine {
--- a/internal/coldstart/limiter_test.go
+++ b/internal/coldstart/limiter_test.go
@@ -135,7 +135,7 @@
 			Convey(name, t, func() {
 				var answers []Answer
 				client := NewClient(ClientParams{
-					Warmth: NewTracker(fleet.NewState(), boottime.Now, log.NewNopLogger()), Ask: ask, Now: boottime.Now,
+					Tracker: NewTracker(fleet.NewState(), boottime.Now, log.NewNopLogger()), Ask: ask, Now: boottime.Now,
 					Observe: func(answer Answer) { answers = append(answers, answer) }, Logger: log.NewNopLogger(),
 				})
 				check(client, &answers)
@@ -179,7 +179,7 @@
 			Convey(name, t, func() {
 				var logged strings.Builder
 				client := NewClient(ClientParams{
-					Warmth: NewTracker(fleet.NewState(), boottime.Now, log.NewNopLogger()), Now: boottime.Now, Logger: log.NewLogfmtLogger(&logged),
+					Tracker: NewTracker(fleet.NewState(), boottime.Now, log.NewNopLogger()), Now: boottime.Now, Logger: log.NewLogfmtLogger(&logged),
 					Ask: func(ctx context.Context, _ Request) (Reply, error) {
 						<-ctx.Done()
 						return Reply{}, ctx.Err()
--- a/internal/coldstart/replay_test.go
+++ b/internal/coldstart/replay_test.go
@@ -165,7 +165,7 @@
 		if shared {
 			warmth := coldstart.NewTracker(state, boottime.Now, log.NewNopLogger())
 			running.Go(func() { warmth.Run(ctx) })
-			forwarder.Quota = coldstart.NewClient(coldstart.ClientParams{Warmth: warmth, Now: boottime.Now, Logger: log.NewNopLogger(),
+			forwarder.Quota = coldstart.NewClient(coldstart.ClientParams{Tracker: warmth, Now: boottime.Now, Logger: log.NewNopLogger(),
 				Ask: func(ctx context.Context, request coldstart.Request) (coldstart.Reply, error) {
 					time.Sleep(2 * time.Millisecond)
 					defer time.Sleep(2 * time.Millisecond)
--- a/internal/fleetnode/coldstart.go
+++ b/internal/fleetnode/coldstart.go
@@ -32,7 +32,7 @@
 func askGrants(forwarder *forward.Forwarder, warmth *coldstart.Tracker, observed *metrics, logger log.Logger,
 	ask func(ctx context.Context, request coldstart.Request) (coldstart.Reply, error)) {
 	forwarder.Quota = coldstart.NewClient(coldstart.ClientParams{
-		Warmth:  warmth,
+		Tracker: warmth,
 		Ask:     ask,
 		Now:     boottime.Now,
 		Observe: observed.grantAnswered,
