--- a/internal/coldstart/local_quota.go
+++ b/internal/coldstart/local_quota.go
@@ -7,12 +7,12 @@
 
 // LocalQuota grants sends to items that the coordinator places itself. It never waits.
 type Placer struct {
-	Warmth *Tracker
-	Keeper *Limiter
+	Tracker *Tracker
+	Keeper  *Limiter
 }
 
 // Cold reports whether a request to the engine needs a grant now.
-func (p Placer) Cold(engine *fleet.Engine) bool { return p.Warmth.Cold(engine) }
+func (p Placer) Cold(engine *fleet.Engine) bool { return p.Tracker.Cold(engine) }
 
 // Free reports whether Take would grant a send now.
 func (p Placer) Free(engine *fleet.Engine, rank routing.Rank) bool {
