--- a/internal/coldstart/local_quota.go
+++ b/internal/coldstart/local_quota.go
@@ -6,20 +6,20 @@
 )
 
 // LocalQuota grants sends to items that the coordinator places itself. It never waits.
-type Placer struct {
+type LocalQuota struct {
 	Tracker *Tracker
 	Keeper  *Limiter
 }
 
 // Cold reports whether a request to the engine needs a grant now.
-func (p Placer) Cold(engine *fleet.Engine) bool { return p.Tracker.Cold(engine) }
+func (p LocalQuota) Cold(engine *fleet.Engine) bool { return p.Tracker.Cold(engine) }
 
 // Free reports whether Take would grant a send now.
-func (p Placer) Free(engine *fleet.Engine, rank routing.Rank) bool {
+func (p LocalQuota) Free(engine *fleet.Engine, rank routing.Rank) bool {
 	return p.Keeper.Free(engine.Service, engine.ID, rank)
 }
 
 // Take takes a grant for one request. It returns false if none is available now or a waiting Request of at least the same urgency competes for it.
-func (p Placer) Take(engine *fleet.Engine, rank routing.Rank) bool {
+func (p LocalQuota) Take(engine *fleet.Engine, rank routing.Rank) bool {
 	return p.Keeper.Take(engine.Service, engine.ID, rank)
 }
