--- a/internal/batchrun/cold_test.go
+++ b/internal/batchrun/cold_test.go
@@ -36,7 +36,7 @@
 	})
 	warmth := coldstart.NewTracker(h.state, boottime.Now, log.NewNopLogger())
 	keeper := coldstart.NewLimiter(coldstart.LimiterParams{Rate: warmth.Rate, LeaseConfirmedAt: boottime.Now, Now: boottime.Now, Logger: log.NewNopLogger()})
-	h.quota = coldstart.LocalQuota{Tracker: warmth, Keeper: keeper}
+	h.quota = coldstart.LocalQuota{Tracker: warmth, Limiter: keeper}
 	var leading sync.WaitGroup
 	leading.Go(func() { keeper.Lead(ctx) })
 	leading.Go(func() { warmth.Run(ctx) })
--- a/internal/coldstart/local_quota.go
+++ b/internal/coldstart/local_quota.go
@@ -8,7 +8,7 @@
 // LocalQuota grants sends to items that the coordinator places itself. It never waits.
 type LocalQuota struct {
 	Tracker *Tracker
-	Keeper  *Limiter
+	Limiter *Limiter
 }
 
 // Cold reports whether a request to the engine needs a grant now.
@@ -16,10 +16,10 @@
 
 // Free reports whether Take would grant a send now.
 func (p LocalQuota) Free(engine *fleet.Engine, rank routing.Rank) bool {
-	return p.Keeper.Free(engine.Service, engine.ID, rank)
+	return p.Limiter.Free(engine.Service, engine.ID, rank)
 }
 
 // Take takes a grant for one request. It returns false if none is available now or a waiting Request of at least the same urgency competes for it.
 func (p LocalQuota) Take(engine *fleet.Engine, rank routing.Rank) bool {
-	return p.Keeper.Take(engine.Service, engine.ID, rank)
+	return p.Limiter.Take(engine.Service, engine.ID, rank)
 }
--- a/internal/fleetnode/coordinator.go
+++ b/internal/fleetnode/coordinator.go
@@ -60,7 +60,7 @@
 		Forwarder:    forwarder,
 		Guard:        guard,
 		Store:        store,
-		Quota:        coldstart.LocalQuota{Tracker: warmth, Keeper: grants},
+		Quota:        coldstart.LocalQuota{Tracker: warmth, Limiter: grants},
 		Zone:         config.Node.Zone,
 		Desk:         desk,
 		EvacuateTime: config.Topology.EvacuateTime,
