--- a/internal/batch/batch.go
+++ b/internal/batch/batch.go
@@ -79,8 +79,8 @@
 	Score    string
 }
 
-// Reading is a page of a job's results.
-type Reading struct {
+// ResultPage is a page of a job's results.
+type ResultPage struct {
 	// Total is the number of the job's items.
 	Total int
 	// Results are those from the requested position on.
@@ -106,7 +106,7 @@
 	// stored and never will be, or if its ID belongs to another tenant's job.
 	Submit(ctx context.Context, job Job) error
 	// Read returns results from a position on, waiting up to wait for at least one. ErrNotFound if the job does not exist.
-	Read(ctx context.Context, ref Ref, position int, wait time.Duration) (Reading, error)
+	Read(ctx context.Context, ref Ref, position int, wait time.Duration) (ResultPage, error)
 	// Body returns the body of an item that has no result yet. ErrNotFound if there is none.
 	Body(ctx context.Context, ref Ref, item string) ([]byte, error)
 	// End ends a job; ending it again has no effect. ErrNotFound if the job does not exist.
--- a/internal/batchrpc/batchrpc.go
+++ b/internal/batchrpc/batchrpc.go
@@ -63,7 +63,7 @@
 // ReadReply answers a ReadRequest.
 type ReadReply struct {
 	Code    code
-	Reading batch.Reading
+	Reading batch.ResultPage
 }
 
 // BodyRequest requests the body of an item.
--- a/internal/batchrpc/client.go
+++ b/internal/batchrpc/client.go
@@ -161,11 +161,11 @@
 }
 
 // Read implements batch.Service.
-func (c *Client) Read(ctx context.Context, ref batch.Ref, position int, wait time.Duration) (batch.Reading, error) {
+func (c *Client) Read(ctx context.Context, ref batch.Ref, position int, wait time.Duration) (batch.ResultPage, error) {
 	request := ReadRequest{Job: ref, Position: position, Wait: wait}
 	reply, err := call[ReadRequest, ReadReply](ctx, c, request, wait)
 	if err != nil {
-		return batch.Reading{}, err
+		return batch.ResultPage{}, err
 	}
 	return reply.Reading, codeErrors[reply.Code]
 }
--- a/internal/batchrun/service.go
+++ b/internal/batchrun/service.go
@@ -108,10 +108,10 @@
 }
 
 // Read implements batch.Service.
-func (r *Runner) Read(ctx context.Context, ref batch.Ref, position int, wait time.Duration) (batch.Reading, error) {
+func (r *Runner) Read(ctx context.Context, ref batch.Ref, position int, wait time.Duration) (batch.ResultPage, error) {
 	j, err := r.jobFor(ctx, ref)
 	if err != nil {
-		return batch.Reading{}, err
+		return batch.ResultPage{}, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, min(wait, maxWait))
 	defer cancel()
@@ -128,7 +128,7 @@
 		case <-ctx.Done():
 			// An empty result is valid only from the process that leads.
 			if _, err := r.termLog(); err != nil {
-				return batch.Reading{}, err
+				return batch.ResultPage{}, err
 			}
 			return page, nil
 		}
@@ -136,8 +136,8 @@
 }
 
 // readFrom returns the results from a position on that fit one read. The runner's mutex must be held.
-func (j *job) readFrom(position int) batch.Reading {
-	page := batch.Reading{Total: j.total, Next: position}
+func (j *job) readFrom(position int) batch.ResultPage {
+	page := batch.ResultPage{Total: j.total, Next: position}
 	limit := maxReadBytes
 	if position < j.newestRead {
 		limit = maxRereadBytes
