--- a/internal/coldstart/client.go
+++ b/internal/coldstart/client.go
@@ -78,25 +78,25 @@
 }
 
 // Cold implements forward.Quota.
-func (a *Client) Cold(engine *fleet.Engine) bool { return a.Tracker.Cold(engine) }
+func (c *Client) Cold(engine *fleet.Engine) bool { return c.Tracker.Cold(engine) }
 
 // Acquire implements forward.Quota.
-func (a *Client) Acquire(ctx context.Context, engines []*fleet.Engine, rank routing.Rank, until time.Time) *fleet.Engine {
+func (c *Client) Acquire(ctx context.Context, engines []*fleet.Engine, rank routing.Rank, until time.Time) *fleet.Engine {
 	if len(engines) == 0 {
 		return nil
 	}
-	engine, answer := a.acquire(ctx, engines, rank, until)
-	if a.Observe != nil {
-		a.Observe(answer)
+	engine, answer := c.acquire(ctx, engines, rank, until)
+	if c.Observe != nil {
+		c.Observe(answer)
 	}
 	return engine
 }
 
-func (a *Client) acquire(ctx context.Context, engines []*fleet.Engine, rank routing.Rank, until time.Time) (*fleet.Engine, Answer) {
-	requested := a.Now()
+func (c *Client) acquire(ctx context.Context, engines []*fleet.Engine, rank routing.Rank, until time.Time) (*fleet.Engine, Answer) {
+	requested := c.Now()
 	key := suppressionKey{service: engines[0].Service, rank: rank}
 	request := Request{Service: key.service, Rank: rank, Wait: until.Sub(requested)}
-	if request.Wait < 0 || a.isSuppressed(key, requested) {
+	if request.Wait < 0 || c.isSuppressed(key, requested) {
 		return nil, AnswerSpared
 	}
 	byID := sample(engines)
@@ -105,20 +105,20 @@
 	}
 	askCtx, cancel := context.WithTimeout(ctx, request.Wait+maxGrantDelay)
 	defer cancel()
-	reply, err := a.Ask(askCtx, request)
-	now := a.Now()
+	reply, err := c.Ask(askCtx, request)
+	now := c.Now()
 	switch {
 	case err != nil || !reply.Leading:
 		if ctx.Err() == nil {
-			a.logFailed(key.service, now, err)
+			c.logFailed(key.service, now, err)
 		}
 		if askCtx.Err() == nil {
 			// Without the backoff, waiting requests would retry at once; one whose time is up does not retry.
-			a.suppress(key, now, failureBackoff)
+			c.suppress(key, now, failureBackoff)
 		}
 		return nil, AnswerFailed
 	case reply.Engine == "":
-		a.suppress(key, now, reply.RetryAfter)
+		c.suppress(key, now, reply.RetryAfter)
 		return nil, AnswerRefused
 	case reply.late(now.Sub(requested)):
 		return nil, AnswerLate
@@ -142,33 +142,33 @@
 }
 
 // isSuppressed reports whether Requests are suppressed now.
-func (a *Client) isSuppressed(key suppressionKey, now time.Time) bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return now.Before(a.suppressed[key])
+func (c *Client) isSuppressed(key suppressionKey, now time.Time) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return now.Before(c.suppressed[key])
 }
 
 // suppress suppresses Requests for a service and rank for a time.
-func (a *Client) suppress(key suppressionKey, now time.Time, length time.Duration) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	for known, until := range a.suppressed {
+func (c *Client) suppress(key suppressionKey, now time.Time, length time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for known, until := range c.suppressed {
 		if !now.Before(until) {
-			delete(a.suppressed, known)
+			delete(c.suppressed, known)
 		}
 	}
-	a.suppressed[key] = now.Add(length)
+	c.suppressed[key] = now.Add(length)
 }
 
 // logFailed logs a failed Request, at most once per logInterval.
-func (a *Client) logFailed(service string, now time.Time, err error) {
-	a.mu.Lock()
-	due := now.Sub(a.lastLogged) >= logInterval
+func (c *Client) logFailed(service string, now time.Time, err error) {
+	c.mu.Lock()
+	due := now.Sub(c.lastLogged) >= logInterval
 	if due {
-		a.lastLogged = now
+		c.lastLogged = now
 	}
-	a.mu.Unlock()
+	c.mu.Unlock()
 	if due {
-		level.Info(a.Logger).Log("msg", "request for a cold-start grant failed", "service", service, "err", err)
+		level.Info(c.Logger).Log("msg", "request for a cold-start grant failed", "service", service, "err", err)
 	}
 }
--- a/internal/coldstart/limiter.go
+++ b/internal/coldstart/limiter.go
@@ -98,14 +98,14 @@
 }
 
 // Lead issues grants for a term until ctx ends.
-func (k *Limiter) Lead(ctx context.Context) {
-	k.beginTerm()
-	defer k.endTerm()
+func (l *Limiter) Lead(ctx context.Context) {
+	l.beginTerm()
+	defer l.endTerm()
 	for ctx.Err() == nil {
-		wait := k.serve()
+		wait := l.serve()
 		timer := time.NewTimer(wait)
 		select {
-		case <-k.wake:
+		case <-l.wake:
 		case <-timer.C:
 		case <-ctx.Done():
 		}
@@ -113,94 +113,94 @@
 	}
 }
 
-func (k *Limiter) beginTerm() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.leading, k.stale = true, false
-	k.grantsFrom = k.Now().Add(termStartDelay)
-	k.buckets = make(map[string]*bucket)
+func (l *Limiter) beginTerm() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.leading, l.stale = true, false
+	l.grantsFrom = l.Now().Add(termStartDelay)
+	l.buckets = make(map[string]*bucket)
 }
 
-func (k *Limiter) endTerm() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.leading = false
-	for _, waiting := range k.waiting {
+func (l *Limiter) endTerm() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.leading = false
+	for _, waiting := range l.waiting {
 		waiting.answer <- grant{}
 	}
-	k.waiting = nil
+	l.waiting = nil
 }
 
 // Ask answers a Request once it is granted or cannot be granted in time.
-func (k *Limiter) Ask(ctx context.Context, request Request) Reply {
-	entry, refused := k.enqueue(request)
+func (l *Limiter) Ask(ctx context.Context, request Request) Reply {
+	entry, refused := l.enqueue(request)
 	if refused != nil {
 		return *refused
 	}
 	select {
 	case given := <-entry.answer:
-		return k.reply(entry, given)
+		return l.reply(entry, given)
 	case <-ctx.Done():
 		// The caller has disconnected. A grant issued at the same moment stays unused.
-		k.dequeue(entry)
+		l.dequeue(entry)
 		return Reply{Leading: true}
 	}
 }
 
 // enqueue queues a Request, or returns the Reply if it cannot be granted in time.
-func (k *Limiter) enqueue(request Request) (*waitingRequest, *Reply) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	now := k.Now()
-	if !k.leading {
+func (l *Limiter) enqueue(request Request) (*waitingRequest, *Reply) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	now := l.Now()
+	if !l.leading {
 		return nil, &Reply{}
 	}
-	position, _ := slices.BinarySearchFunc(k.waiting, request.Rank, func(known *waitingRequest, rank routing.Rank) int {
+	position, _ := slices.BinarySearchFunc(l.waiting, request.Rank, func(known *waitingRequest, rank routing.Rank) int {
 		if known.Rank.Compare(rank) > 0 {
 			return 1
 		}
 		return -1
 	})
-	if late := k.lateBy(request, position, now); late > 0 || len(k.waiting) >= maxWaiting {
-		k.counts.Refused++
+	if late := l.lateBy(request, position, now); late > 0 || len(l.waiting) >= maxWaiting {
+		l.counts.Refused++
 		return nil, &Reply{Leading: true, RetryAfter: min(max(late, minRetry), maxRetry)}
 	}
 	entry := &waitingRequest{Request: request, until: now.Add(request.Wait), enqueuedAt: now, answer: make(chan grant, 1)}
-	k.waiting = slices.Insert(k.waiting, position, entry)
+	l.waiting = slices.Insert(l.waiting, position, entry)
 	select {
-	case k.wake <- struct{}{}:
+	case l.wake <- struct{}{}:
 	default:
 	}
 	return entry, nil
 }
 
 // lateBy returns how far beyond its wait a Request at a position in the queue would be granted; zero or less if in time. The mutex must be held.
-func (k *Limiter) lateBy(request Request, position int, now time.Time) time.Duration {
-	rate := k.rate(request.Service, now) * float64(len(request.Engines))
+func (l *Limiter) lateBy(request Request, position int, now time.Time) time.Duration {
+	rate := l.rate(request.Service, now) * float64(len(request.Engines))
 	if rate <= 0 {
 		return maxRetry
 	}
 	ahead := 0
-	for _, known := range k.waiting[:position] {
+	for _, known := range l.waiting[:position] {
 		if known.Service == request.Service {
 			ahead++
 		}
 	}
 	tokens := 0.0
 	for _, engine := range request.Engines {
-		known := k.bucket(engine)
-		known.fill(now, k.rate(request.Service, now))
+		known := l.bucket(engine)
+		known.fill(now, l.rate(request.Service, now))
 		tokens += known.level
 	}
 	wait := max(0, time.Duration((float64(ahead)+1-tokens)/rate*float64(time.Second)))
-	wait = max(wait, k.grantsFrom.Sub(now))
+	wait = max(wait, l.grantsFrom.Sub(now))
 	return wait - request.Wait
 }
 
 // rate returns the grants per second and engine of a service, reduced by the age of the lease. The mutex must be held.
-func (k *Limiter) rate(service string, now time.Time) float64 {
-	rate := k.Rate(service)
-	switch leaseAge := now.Sub(k.LeaseConfirmedAt()); {
+func (l *Limiter) rate(service string, now time.Time) float64 {
+	rate := l.Rate(service)
+	switch leaseAge := now.Sub(l.LeaseConfirmedAt()); {
 	case leaseAge > leaseFreshness+StaleLife:
 		return 0
 	case leaseAge > leaseFreshness:
@@ -210,44 +210,44 @@
 }
 
 // bucket returns an engine's bucket, creating a full one if needed. The mutex must be held.
-func (k *Limiter) bucket(engine string) *bucket {
-	known, ok := k.buckets[engine]
+func (l *Limiter) bucket(engine string) *bucket {
+	known, ok := l.buckets[engine]
 	if !ok {
-		known = &bucket{level: Depth, at: k.Now()}
-		k.buckets[engine] = known
+		known = &bucket{level: Depth, at: l.Now()}
+		l.buckets[engine] = known
 	}
 	return known
 }
 
 // serve issues the grants that are due and returns the pause until the next round.
-func (k *Limiter) serve() time.Duration {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	now := k.Now()
-	k.logStale(now)
+func (l *Limiter) serve() time.Duration {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	now := l.Now()
+	l.logStale(now)
 	pause := maxServePause
-	k.waiting = slices.DeleteFunc(k.waiting, func(known *waitingRequest) bool {
-		engine, wait := k.choose(known.Request, now)
+	l.waiting = slices.DeleteFunc(l.waiting, func(known *waitingRequest) bool {
+		engine, wait := l.choose(known.Request, now)
 		if engine != "" {
-			k.bucket(engine).take()
-			k.counts.Granted++
+			l.bucket(engine).take()
+			l.counts.Granted++
 			known.answer <- grant{engine: engine, at: now}
 			return true
 		}
 		if !now.Before(known.until) {
-			k.counts.Refused++
+			l.counts.Refused++
 			known.answer <- grant{}
 			return true
 		}
 		pause = max(min(pause, wait, known.until.Sub(now)), time.Millisecond)
 		return false
 	})
-	for id, known := range k.buckets {
+	for id, known := range l.buckets {
 		if now.Sub(known.at) > bucketTTL {
-			delete(k.buckets, id)
+			delete(l.buckets, id)
 		}
 	}
-	if len(k.waiting) == 0 {
+	if len(l.waiting) == 0 {
 		// The next Request wakes Lead.
 		return time.Hour
 	}
@@ -255,13 +255,13 @@
 }
 
 // choose returns an engine that may be granted to a Request now, or the time until one may be available. It takes no token. The mutex must be held.
-func (k *Limiter) choose(request Request, now time.Time) (engine string, wait time.Duration) {
-	rate := k.rate(request.Service, now)
+func (l *Limiter) choose(request Request, now time.Time) (engine string, wait time.Duration) {
+	rate := l.rate(request.Service, now)
 	wait = maxServePause
 	if rate <= 0 {
 		return "", wait
 	}
-	if startDelay := k.grantsFrom.Sub(now); startDelay > 0 {
+	if startDelay := l.grantsFrom.Sub(now); startDelay > 0 {
 		return "", startDelay
 	}
 	// Starts at a random engine; the first in the list would otherwise get all grants under low demand.
@@ -271,7 +271,7 @@
 	}
 	for i := range request.Engines {
 		id := request.Engines[(first+i)%len(request.Engines)]
-		ready := k.bucket(id).wait(now, rate)
+		ready := l.bucket(id).wait(now, rate)
 		if ready == 0 {
 			return id, 0
 		}
@@ -282,48 +282,48 @@
 
 // reply returns the Reply for a grant. Held ends when the grant was issued, not now: if the process was suspended in between, others may have been
 // granted since.
-func (k *Limiter) reply(entry *waitingRequest, given grant) Reply {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (l *Limiter) reply(entry *waitingRequest, given grant) Reply {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	if given.engine == "" {
-		return Reply{Leading: k.leading, RetryAfter: minRetry}
+		return Reply{Leading: l.leading, RetryAfter: minRetry}
 	}
-	return Reply{Leading: k.leading, Engine: given.engine, Held: given.at.Sub(entry.enqueuedAt)}
+	return Reply{Leading: l.leading, Engine: given.engine, Held: given.at.Sub(entry.enqueuedAt)}
 }
 
-func (k *Limiter) dequeue(entry *waitingRequest) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.waiting = slices.DeleteFunc(k.waiting, func(known *waitingRequest) bool { return known == entry })
+func (l *Limiter) dequeue(entry *waitingRequest) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.waiting = slices.DeleteFunc(l.waiting, func(known *waitingRequest) bool { return known == entry })
 }
 
 // Free reports whether Take would grant a send now.
-func (k *Limiter) Free(service, engine string, rank routing.Rank) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.free(service, engine, rank)
+func (l *Limiter) Free(service, engine string, rank routing.Rank) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.free(service, engine, rank)
 }
 
 // Take grants one send of this process to an engine. It returns false if no grant is available now or a waiting Request of at least the same
 // urgency competes for it.
-func (k *Limiter) Take(service, engine string, rank routing.Rank) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if !k.free(service, engine, rank) {
-		k.counts.Refused++
+func (l *Limiter) Take(service, engine string, rank routing.Rank) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if !l.free(service, engine, rank) {
+		l.counts.Refused++
 		return false
 	}
-	k.bucket(engine).take()
-	k.counts.Granted++
+	l.bucket(engine).take()
+	l.counts.Granted++
 	return true
 }
 
 // free implements Free. The mutex must be held.
-func (k *Limiter) free(service, engine string, rank routing.Rank) bool {
-	if !k.leading {
+func (l *Limiter) free(service, engine string, rank routing.Rank) bool {
+	if !l.leading {
 		return false
 	}
-	for _, known := range k.waiting {
+	for _, known := range l.waiting {
 		if known.Rank.Compare(rank) > 0 {
 			break
 		}
@@ -331,29 +331,29 @@
 			return false
 		}
 	}
-	granted, _ := k.choose(Request{Service: service, Engines: []string{engine}}, k.Now())
+	granted, _ := l.choose(Request{Service: service, Engines: []string{engine}}, l.Now())
 	return granted != ""
 }
 
 // logStale logs when the age of the lease starts or stops reducing the grants. The mutex must be held.
-func (k *Limiter) logStale(now time.Time) {
-	leaseAge := now.Sub(k.LeaseConfirmedAt())
-	if stale := leaseAge > leaseFreshness; stale != k.stale {
-		k.stale = stale
-		level.Info(k.Logger).Log("msg", "cold-start grant rate changed", "reduced", stale, "lease_age", leaseAge.Round(time.Millisecond), "waiting", len(k.waiting))
+func (l *Limiter) logStale(now time.Time) {
+	leaseAge := now.Sub(l.LeaseConfirmedAt())
+	if stale := leaseAge > leaseFreshness; stale != l.stale {
+		l.stale = stale
+		level.Info(l.Logger).Log("msg", "cold-start grant rate changed", "reduced", stale, "lease_age", leaseAge.Round(time.Millisecond), "waiting", len(l.waiting))
 	}
 }
 
 // Waiting returns the number of waiting Requests.
-func (k *Limiter) Waiting() int {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return len(k.waiting)
+func (l *Limiter) Waiting() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return len(l.waiting)
 }
 
 // Counts returns the total decisions so far.
-func (k *Limiter) Counts() Counts {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.counts
+func (l *Limiter) Counts() Counts {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.counts
 }
--- a/internal/coldstart/limiter_test.go
+++ b/internal/coldstart/limiter_test.go
@@ -18,7 +18,7 @@
 )
 
 // runLimiter runs a scenario with a leading limiter in virtual time. shown sets when the store last confirmed the lease.
-func runLimiter(t *testing.T, name string, rate float64, play func(k *Limiter, shown *time.Time)) {
+func runLimiter(t *testing.T, name string, rate float64, play func(l *Limiter, shown *time.Time)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		Convey(name, t, func() {
@@ -51,19 +51,19 @@
 
 func TestLimiter(t *testing.T) {
 	ctx := context.Background()
-	runLimiter(t, "A new term gives no grant until those of the former term have expired", 10, func(k *Limiter, _ *time.Time) {
+	runLimiter(t, "A new term gives no grant until those of the former term have expired", 10, func(l *Limiter, _ *time.Time) {
 		began := boottime.Now()
-		So(k.Ask(ctx, oneRequest(100*time.Millisecond)).Engine, ShouldBeEmpty)
+		So(l.Ask(ctx, oneRequest(100*time.Millisecond)).Engine, ShouldBeEmpty)
 		So(boottime.Since(began), ShouldBeZeroValue)
-		So(k.Take("s", "a", routing.Rank{}), ShouldBeFalse)
-		reply := k.Ask(ctx, oneRequest(3*time.Second))
+		So(l.Take("s", "a", routing.Rank{}), ShouldBeFalse)
+		reply := l.Ask(ctx, oneRequest(3*time.Second))
 		So(reply.Engine, ShouldEqual, "a")
 		So(boottime.Since(began), ShouldEqual, termStartDelay)
 		So(reply.Held, ShouldEqual, termStartDelay)
 	})
-	runLimiter(t, "Grants are given at the rate, by urgency and then in order of arrival", 10, func(k *Limiter, _ *time.Time) {
+	runLimiter(t, "Grants are given at the rate, by urgency and then in order of arrival", 10, func(l *Limiter, _ *time.Time) {
 		time.Sleep(termStartDelay)
-		So(k.Take("s", "a", routing.Rank{}), ShouldBeTrue)
+		So(l.Take("s", "a", routing.Rank{}), ShouldBeTrue)
 		var mu sync.Mutex
 		var order []int
 		var asking sync.WaitGroup
@@ -72,7 +72,7 @@
 			asking.Go(func() {
 				request := oneRequest(time.Second)
 				request.Rank = routing.Rank{Route: rank}
-				if k.Ask(ctx, request).Engine == "" {
+				if l.Ask(ctx, request).Engine == "" {
 					return
 				}
 				mu.Lock()
@@ -81,30 +81,30 @@
 			})
 			synctest.Wait()
 		}
-		So(k.Take("s", "a", routing.Rank{Route: 1}), ShouldBeFalse)
+		So(l.Take("s", "a", routing.Rank{Route: 1}), ShouldBeFalse)
 		asking.Wait()
 		So(order, ShouldResemble, []int{3, 1, 2, 0})
 		So(boottime.Since(began), ShouldBeBetween, 399*time.Millisecond, 410*time.Millisecond)
 	})
-	runLimiter(t, "A request that cannot be granted in time is refused at once, and one whose caller has disconnected takes no grant", 2, func(k *Limiter, _ *time.Time) {
+	runLimiter(t, "A request that cannot be granted in time is refused at once, and one whose caller has disconnected takes no grant", 2, func(l *Limiter, _ *time.Time) {
 		time.Sleep(termStartDelay)
-		So(k.Take("s", "a", routing.Rank{}), ShouldBeTrue)
+		So(l.Take("s", "a", routing.Rank{}), ShouldBeTrue)
 		began := boottime.Now()
-		So(k.Ask(ctx, oneRequest(400*time.Millisecond)).RetryAfter, ShouldBeGreaterThan, 0)
+		So(l.Ask(ctx, oneRequest(400*time.Millisecond)).RetryAfter, ShouldBeGreaterThan, 0)
 		So(boottime.Since(began), ShouldBeZeroValue)
 		leaving, leave := context.WithTimeout(ctx, 100*time.Millisecond)
 		defer leave()
-		So(k.Ask(leaving, oneRequest(time.Second)).Engine, ShouldBeEmpty)
+		So(l.Ask(leaving, oneRequest(time.Second)).Engine, ShouldBeEmpty)
 		time.Sleep(400 * time.Millisecond)
-		So(k.Waiting(), ShouldEqual, 0)
-		So(k.Take("s", "a", routing.Rank{}), ShouldBeTrue)
+		So(l.Waiting(), ShouldEqual, 0)
+		So(l.Take("s", "a", routing.Rank{}), ShouldBeTrue)
 	})
-	runLimiter(t, "A coordinator whose lease the store has not confirmed for a while reduces its grants, then stops them", 10, func(k *Limiter, shown *time.Time) {
+	runLimiter(t, "A coordinator whose lease the store has not confirmed for a while reduces its grants, then stops them", 10, func(l *Limiter, shown *time.Time) {
 		time.Sleep(termStartDelay)
 		*shown = boottime.Now()
 		grants := func(length time.Duration) (given int) {
 			for began := boottime.Now(); boottime.Since(began) < length; time.Sleep(10 * time.Millisecond) {
-				if k.Take("s", "a", routing.Rank{}) {
+				if l.Take("s", "a", routing.Rank{}) {
 					given++
 				}
 			}
@@ -112,18 +112,18 @@
 		}
 		So(grants(time.Second), ShouldBeBetweenOrEqual, 9, 11)
 		time.Sleep(leaseFreshness - time.Second)
-		k.Take("s", "a", routing.Rank{})
+		l.Take("s", "a", routing.Rank{})
 		So(grants(1400*time.Millisecond), ShouldBeBetweenOrEqual, 2, 3)
 		time.Sleep(StaleLife)
 		So(grants(2*time.Second), ShouldEqual, 0)
 	})
-	runLimiter(t, "The queue is bounded", 1000, func(k *Limiter, _ *time.Time) {
+	runLimiter(t, "The queue is bounded", 1000, func(l *Limiter, _ *time.Time) {
 		var asking sync.WaitGroup
 		for range 2 * maxWaiting {
-			asking.Go(func() { k.Ask(ctx, oneRequest(10*time.Second)) })
+			asking.Go(func() { l.Ask(ctx, oneRequest(10*time.Second)) })
 		}
 		synctest.Wait()
-		So(k.Waiting(), ShouldEqual, maxWaiting)
+		So(l.Waiting(), ShouldEqual, maxWaiting)
 		asking.Wait()
 	})
 }
--- a/internal/coldstart/local_quota.go
+++ b/internal/coldstart/local_quota.go
@@ -12,14 +12,14 @@
 }
 
 // Cold reports whether a request to the engine needs a grant now.
-func (p LocalQuota) Cold(engine *fleet.Engine) bool { return p.Tracker.Cold(engine) }
+func (q LocalQuota) Cold(engine *fleet.Engine) bool { return q.Tracker.Cold(engine) }
 
 // Free reports whether Take would grant a send now.
-func (p LocalQuota) Free(engine *fleet.Engine, rank routing.Rank) bool {
-	return p.Limiter.Free(engine.Service, engine.ID, rank)
+func (q LocalQuota) Free(engine *fleet.Engine, rank routing.Rank) bool {
+	return q.Limiter.Free(engine.Service, engine.ID, rank)
 }
 
 // Take takes a grant for one request. It returns false if none is available now or a waiting Request of at least the same urgency competes for it.
-func (p LocalQuota) Take(engine *fleet.Engine, rank routing.Rank) bool {
-	return p.Limiter.Take(engine.Service, engine.ID, rank)
+func (q LocalQuota) Take(engine *fleet.Engine, rank routing.Rank) bool {
+	return q.Limiter.Take(engine.Service, engine.ID, rank)
 }
--- a/internal/coldstart/replay_test.go
+++ b/internal/coldstart/replay_test.go
@@ -108,7 +108,7 @@
 	return float64(len(e.arrived)) > replayBound
 }
 
-// crash stops an engine; it restarts cold after replayBack. The mutex must be held.
+// crash stops an engine; it restarts cold after replayDowntime. The mutex must be held.
 func (r *replay) crash(e *coldEngine) {
 	e.up, e.active, e.arrived = false, 0, nil
 	time.AfterFunc(replayDowntime, func() {
@@ -163,9 +163,9 @@
 		state.SetEngineList(r.entries())
 		forwarder := forward.New(state, r, forward.NewPicker(time.Now), log.NewNopLogger())
 		if shared {
-			warmth := coldstart.NewTracker(state, boottime.Now, log.NewNopLogger())
-			running.Go(func() { warmth.Run(ctx) })
-			forwarder.Quota = coldstart.NewClient(coldstart.ClientParams{Tracker: warmth, Now: boottime.Now, Logger: log.NewNopLogger(),
+			tracker := coldstart.NewTracker(state, boottime.Now, log.NewNopLogger())
+			running.Go(func() { tracker.Run(ctx) })
+			forwarder.Quota = coldstart.NewClient(coldstart.ClientParams{Tracker: tracker, Now: boottime.Now, Logger: log.NewNopLogger(),
 				Ask: func(ctx context.Context, request coldstart.Request) (coldstart.Reply, error) {
 					time.Sleep(2 * time.Millisecond)
 					defer time.Sleep(2 * time.Millisecond)
--- a/internal/coldstart/tracker.go
+++ b/internal/coldstart/tracker.go
@@ -76,47 +76,47 @@
 
 // NewTracker returns a Tracker of the engines of a state. now must be a clock that includes time during which the machine is suspended.
 func NewTracker(state *fleet.State, now func() time.Time, logger log.Logger) *Tracker {
-	w := &Tracker{state: state, now: now, logger: logger, engines: make(map[string]*engineRecord), listed: make(map[string]struct{})}
-	w.cold.Store(&map[string]time.Time{})
-	return w
+	t := &Tracker{state: state, now: now, logger: logger, engines: make(map[string]*engineRecord), listed: make(map[string]struct{})}
+	t.cold.Store(&map[string]time.Time{})
+	return t
 }
 
 // Run processes the views of the state until ctx ends. Cold processes a new view itself if Run has not yet done so.
-func (w *Tracker) Run(ctx context.Context) {
+func (t *Tracker) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		_, changed := w.state.Changed()
-		w.observe()
-		if w.Count() == 0 {
+		_, changed := t.state.Changed()
+		t.observe()
+		if t.Count() == 0 {
 			pause.Unless(ctx, changed, time.Hour)
 			continue
 		}
 		pause.Unless(ctx, changed, sweepInterval)
-		w.sweep()
+		t.sweep()
 	}
 }
 
 // Relist makes new engines of the next view count as listed before, not as just started. Call it after a gap in following the deployment.
-func (w *Tracker) Relist() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	clear(w.listed)
+func (t *Tracker) Relist() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	clear(t.listed)
 }
 
 // Cold reports whether an engine is cold now.
-func (w *Tracker) Cold(engine *fleet.Engine) bool {
-	if w.state.View() != w.seen.Load() {
-		w.observe()
+func (t *Tracker) Cold(engine *fleet.Engine) bool {
+	if t.state.View() != t.seen.Load() {
+		t.observe()
 	}
-	until, ok := (*w.cold.Load())[engine.ID]
-	return ok && w.now().Before(until)
+	until, ok := (*t.cold.Load())[engine.ID]
+	return ok && t.now().Before(until)
 }
 
 // Count returns the number of cold engines.
-func (w *Tracker) Count() int { return len(*w.cold.Load()) }
+func (t *Tracker) Count() int { return len(*t.cold.Load()) }
 
 // Rate returns the cold rate of a service, in requests per second and engine; zero if its engines are never cold or the service is unknown.
-func (w *Tracker) Rate(service string) float64 {
-	return coldService(w.state.View().Routes, service).ColdRate
+func (t *Tracker) Rate(service string) float64 {
+	return coldService(t.state.View().Routes, service).ColdRate
 }
 
 // coldService returns a service that has a cold rate, else the zero Service.
@@ -142,18 +142,18 @@
 
 // observe updates the records from the current view unless that was already done. It reads the view under the mutex: processing an older view after
 // a newer one would make a zone appear restored.
-func (w *Tracker) observe() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	view := w.state.View()
-	if view == w.seen.Load() {
+func (t *Tracker) observe() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	view := t.state.View()
+	if view == t.seen.Load() {
 		return
 	}
-	now := w.now()
+	now := t.now()
 	services := make(map[string]struct{})
-	restored := w.restored(view.Evacuations)
-	if !anyColdService(view.Routes) && len(w.engines) == 0 {
-		w.seen.Store(view)
+	restored := t.restored(view.Evacuations)
+	if !anyColdService(view.Routes) && len(t.engines) == 0 {
+		t.seen.Store(view)
 		return
 	}
 	for _, engine := range view.Engines.All() {
@@ -162,52 +162,52 @@
 			continue
 		}
 		services[engine.Service] = struct{}{}
-		w.observeEngine(engine, service.ColdStart, now)
+		t.observeEngine(engine, service.ColdStart, now)
 		if _, ok := restored[engine.Zone]; ok {
-			w.engines[engine.ID].markCold(now, service.ColdStart)
-			w.logChange(engine.ID, CauseRestored, now)
+			t.engines[engine.ID].markCold(now, service.ColdStart)
+			t.logChange(engine.ID, CauseRestored, now)
 		}
 	}
 	// Must follow the loop: engines in the first view of a service have not just started.
 	for service := range services {
-		w.listed[service] = struct{}{}
+		t.listed[service] = struct{}{}
 	}
-	for id, record := range w.engines {
+	for id, record := range t.engines {
 		if now.Sub(record.listedAt) > recordTTL {
-			delete(w.engines, id)
+			delete(t.engines, id)
 		}
 	}
-	w.publish(now)
-	w.seen.Store(view)
+	t.publish(now)
+	t.seen.Store(view)
 }
 
 // restored returns the zones whose evacuation ended since the last view, and stores the evacuated ones. The mutex must be held.
-func (w *Tracker) restored(evacuations *fleet.Evacuations) map[string]struct{} {
+func (t *Tracker) restored(evacuations *fleet.Evacuations) map[string]struct{} {
 	if evacuations == nil {
 		return nil
 	}
 	gone := make(map[string]struct{})
-	for zone := range w.evacuated {
+	for zone := range t.evacuated {
 		if !evacuations.Include(zone) {
 			gone[zone] = struct{}{}
 		}
 	}
-	w.evacuated = make(map[string]struct{})
+	t.evacuated = make(map[string]struct{})
 	for _, zone := range evacuations.Zones() {
-		w.evacuated[zone] = struct{}{}
+		t.evacuated[zone] = struct{}{}
 	}
 	return gone
 }
 
 // observeEngine updates an engine's record from its entry. The mutex must be held.
-func (w *Tracker) observeEngine(engine *fleet.Engine, coldStart time.Duration, now time.Time) {
-	record, known := w.engines[engine.ID]
+func (t *Tracker) observeEngine(engine *fleet.Engine, coldStart time.Duration, now time.Time) {
+	record, known := t.engines[engine.ID]
 	if !known {
 		record = &engineRecord{}
-		w.engines[engine.ID] = record
-		if _, listedBefore := w.listed[engine.Service]; listedBefore {
+		t.engines[engine.ID] = record
+		if _, listedBefore := t.listed[engine.Service]; listedBefore {
 			record.markCold(now, coldStart)
-			w.logChange(engine.ID, CauseStart, now)
+			t.logChange(engine.ID, CauseStart, now)
 		}
 	}
 	record.listedAt = now
@@ -216,7 +216,7 @@
 	}
 	record.entry, record.entryAt = engine.ColdRemaining, now
 	if record.applyEntry(now) {
-		w.logChange(engine.ID, CauseEntry, now)
+		t.logChange(engine.ID, CauseEntry, now)
 	}
 }
 
@@ -245,32 +245,32 @@
 }
 
 // logChange logs a change of an engine's cold state and its cause. The mutex must be held.
-func (w *Tracker) logChange(id string, cause Cause, now time.Time) {
-	record := w.engines[id]
-	level.Info(w.logger).Log("msg", "engine cold state changed", "engine", id, "cold", now.Before(record.until), "cause", cause,
+func (t *Tracker) logChange(id string, cause Cause, now time.Time) {
+	record := t.engines[id]
+	level.Info(t.logger).Log("msg", "engine cold state changed", "engine", id, "cold", now.Before(record.until), "cause", cause,
 		"for", max(record.until.Sub(now), 0).Round(time.Millisecond), "entry_rest", record.entry, "entry_age", now.Sub(record.entryAt).Round(time.Millisecond))
 }
 
 // sweep removes engines whose cold time has elapsed from the set of cold engines.
-func (w *Tracker) sweep() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	now := w.now()
-	for id, until := range *w.cold.Load() {
-		if _, known := w.engines[id]; known && !now.Before(until) {
-			w.logChange(id, CauseTime, now)
+func (t *Tracker) sweep() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := t.now()
+	for id, until := range *t.cold.Load() {
+		if _, known := t.engines[id]; known && !now.Before(until) {
+			t.logChange(id, CauseTime, now)
 		}
 	}
-	w.publish(now)
+	t.publish(now)
 }
 
 // publish replaces the set of cold engines. The mutex must be held.
-func (w *Tracker) publish(now time.Time) {
+func (t *Tracker) publish(now time.Time) {
 	cold := make(map[string]time.Time)
-	for id, record := range w.engines {
+	for id, record := range t.engines {
 		if now.Before(record.until) {
 			cold[id] = record.until
 		}
 	}
-	w.cold.Store(&cold)
+	t.cold.Store(&cold)
 }
--- a/internal/fleetnode/coldstart.go
+++ b/internal/fleetnode/coldstart.go
@@ -52,7 +52,7 @@
 	})
 }
 
-// newGrants returns the Keeper that gives grants while this process coordinates; requests of this process ask it directly.
+// newGrants returns the Limiter that gives grants while this process coordinates; requests of this process ask it directly.
 func newGrants(forwarder *forward.Forwarder, warmth *coldstart.Tracker, registry *prometheus.Registry, observed *metrics,
 	logger log.Logger) *coldstart.Limiter {
 	keeper := coldstart.NewLimiter(coldstart.LimiterParams{
--- a/internal/itemwork/calls.go
+++ b/internal/itemwork/calls.go
@@ -81,12 +81,12 @@
 }
 
 // Register registers the handlers of a dispatcher with a server.
-func Register(server *rpc.Server, desk *Dispatcher) {
+func Register(server *rpc.Server, dispatcher *Dispatcher) {
 	rpc.Handle(server, func(ctx context.Context, _ rpc.Peer, request PollRequest) (PollReply, error) {
-		return desk.Poll(ctx, request), nil
+		return dispatcher.Poll(ctx, request), nil
 	})
 	rpc.Handle(server, func(_ context.Context, _ rpc.Peer, request ReportRequest) (ReportReply, error) {
-		return desk.Report(request), nil
+		return dispatcher.Report(request), nil
 	})
 }
 
--- a/internal/itemwork/dispatcher_residency_test.go
+++ b/internal/itemwork/dispatcher_residency_test.go
@@ -17,26 +17,26 @@
 func TestDispatcherAssignsBoundRunsToAllowedRegions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		desk := NewDispatcher(log.NewNopLogger())
-		desk.Region = func(zone string) string { return strings.TrimRight(zone, "0123456789") }
+		dispatcher := NewDispatcher(log.NewNopLogger())
+		dispatcher.Region = func(zone string) string { return strings.TrimRight(zone, "0123456789") }
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			desk.Lead(ctx, 7, &lostWorkers{})
+			dispatcher.Lead(ctx, 7, &lostWorkers{})
 		}()
 		defer func() {
 			cancel()
 			<-done
 		}()
 		meet := func(zone string, leaving bool) {
-			desk.Poll(t.Context(), PollRequest{Worker: WorkerID{Name: "w-" + zone, Zone: zone, Instance: "first", Leaving: leaving}, Term: 1})
+			dispatcher.Poll(t.Context(), PollRequest{Worker: WorkerID{Name: "w-" + zone, Zone: zone, Instance: "first", Leaving: leaving}, Term: 1})
 		}
 		time.Sleep(time.Millisecond)
 		meet("north1", false)
 		meet("north2", false)
 		meet("south1", false)
 		assign := func(engineZone string, residency placement.Residency) string {
-			worker, _ := desk.Assign(residency, &fleet.Engine{ID: "e-" + engineZone, Zone: engineZone}, &Assignment{})
+			worker, _ := dispatcher.Assign(residency, &fleet.Engine{ID: "e-" + engineZone, Zone: engineZone}, &Assignment{})
 			return worker
 		}
 		south := placement.Residency{Route: []string{"south"}}
@@ -47,16 +47,16 @@
 			So(assign("north1", placement.Residency{Tenant: []string{"north"}, Accepted: [][]string{{"south"}}}), ShouldBeEmpty)
 			So(assign("south1", south), ShouldEqual, "w-south1/first")
 			So(assign("north1", placement.Residency{}), ShouldEqual, "w-north1/first")
-			So(desk.HasEligibleWorker(south), ShouldBeTrue)
+			So(dispatcher.HasEligibleWorker(south), ShouldBeTrue)
 			meet("south1", true)
 			So(assign("south1", south), ShouldBeEmpty)
-			So(desk.HasEligibleWorker(south), ShouldBeFalse)
-			So(desk.HasEligibleWorker(placement.Residency{}), ShouldBeTrue)
+			So(dispatcher.HasEligibleWorker(south), ShouldBeFalse)
+			So(dispatcher.HasEligibleWorker(placement.Residency{}), ShouldBeTrue)
 		})
 		Convey("A dispatcher without a region lookup assigns nothing that is bound", t, func() {
-			desk.Region = nil
+			dispatcher.Region = nil
 			So(assign("north1", placement.Residency{Route: []string{"north"}}), ShouldBeEmpty)
-			So(desk.HasEligibleWorker(placement.Residency{Route: []string{"north"}}), ShouldBeFalse)
+			So(dispatcher.HasEligibleWorker(placement.Residency{Route: []string{"north"}}), ShouldBeFalse)
 		})
 	})
 }
--- a/internal/itemwork/dispatcher_test.go
+++ b/internal/itemwork/dispatcher_test.go
@@ -40,37 +40,37 @@
 func TestDispatcher(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		desk := NewDispatcher(log.NewNopLogger())
+		dispatcher := NewDispatcher(log.NewNopLogger())
 		lost := &lostWorkers{}
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			desk.Lead(ctx, 7, lost)
+			dispatcher.Lead(ctx, 7, lost)
 		}()
 		defer func() {
 			cancel()
 			<-done
 		}()
 		meet := func(zone, instance string) {
-			desk.Poll(t.Context(), PollRequest{Worker: WorkerID{Name: "w-" + zone, Zone: zone, Instance: instance}, Term: 1})
+			dispatcher.Poll(t.Context(), PollRequest{Worker: WorkerID{Name: "w-" + zone, Zone: zone, Instance: instance}, Term: 1})
 		}
 		time.Sleep(time.Millisecond)
 		Convey("An engine is always assigned the same worker, in its own zone", t, func() {
 			meet("z1", "first")
 			meet("z2", "first")
 			for range 3 {
-				worker, ok := desk.Assign(placement.Residency{}, &fleet.Engine{ID: "e", Zone: "z2"}, &Assignment{})
+				worker, ok := dispatcher.Assign(placement.Residency{}, &fleet.Engine{ID: "e", Zone: "z2"}, &Assignment{})
 				So(ok, ShouldBeTrue)
 				So(worker, ShouldEqual, "w-z2/first")
 			}
 		})
 		Convey("A worker that does not call is lost, but not while this process itself was stalled", t, func() {
-			desk.extendDeadlines(3 * time.Second)
+			dispatcher.extendDeadlines(3 * time.Second)
 			time.Sleep(2 * time.Second)
 			So(lost.taken(), ShouldBeEmpty)
 			time.Sleep(3 * time.Second)
 			So(lost.taken(), ShouldHaveLength, 2)
-			_, ok := desk.Assign(placement.Residency{}, &fleet.Engine{ID: "e", Zone: "z2"}, &Assignment{})
+			_, ok := dispatcher.Assign(placement.Residency{}, &fleet.Engine{ID: "e", Zone: "z2"}, &Assignment{})
 			So(ok, ShouldBeFalse)
 		})
 		Convey("A restarted worker loses the runs of its previous process", t, func() {
--- a/internal/itemwork/share.go
+++ b/internal/itemwork/share.go
@@ -27,9 +27,9 @@
 }
 
 // Share returns the share of the processes that should run items, from 0 to 1; zero means all of them.
-func (n *Autoscaler) Share(open, processes int, now time.Time) float64 {
-	peak := max(n.peak.At(now, peakDecay), float64(open))
-	n.peak = decay.New(peak, now)
+func (a *Autoscaler) Share(open, processes int, now time.Time) float64 {
+	peak := max(a.peak.At(now, peakDecay), float64(open))
+	a.peak = decay.New(peak, now)
 	steps := math.Ceil(peak / runsPerWorker / workerStep)
 	workers := max(minWorkers, workerStep*int(steps))
 	if processes <= workers {
