--- a/internal/batchrpc/batchrpc.go
+++ b/internal/batchrpc/batchrpc.go
@@ -10,7 +10,6 @@
 	"github.com/covelink/covelink/internal/rpc"
 )
 
-// code is the outcome of a call.
 type code int
 
 const (
@@ -22,7 +21,6 @@
 	codeNotLeading
 )
 
-// errNotLeading reports a process that is not the coordinator.
 var errNotLeading = errors.New("batchrpc: process is not the coordinator")
 
 var codeErrors = map[code]error{
--- a/internal/batchrpc/client.go
+++ b/internal/batchrpc/client.go
@@ -20,13 +20,11 @@
 
 const (
 	// callTimeout bounds a call, beyond the time that it may wait for results.
-	callTimeout = 1500 * time.Millisecond
-	// submitTimeout bounds one attempt of a submission.
+	callTimeout   = 1500 * time.Millisecond
 	submitTimeout = 4 * time.Second
 	// submitWait bounds all attempts of a submission. It exceeds the 3 s in which a lost coordinator is replaced: a trainer whose job is refused
 	// loses the step.
-	submitWait = 6 * time.Second
-	// submitPause is the pause between two attempts.
+	submitWait  = 6 * time.Second
 	submitPause = 100 * time.Millisecond
 )
 
@@ -101,7 +99,6 @@
 	return err
 }
 
-// residency returns where a job may be processed, by its own bounds and this process's route table.
 func (c *Client) residency(job *batch.Job) placement.Residency {
 	return jobresidency.Whole(c.State.View().Routes, job)
 }
--- a/internal/batchrpc/end_retrier.go
+++ b/internal/batchrpc/end_retrier.go
@@ -10,7 +10,6 @@
 )
 
 const (
-	// endRetryPause is the pause between two attempts to end a job.
 	endRetryPause = 300 * time.Millisecond
 	// endRetryLimit bounds the time of all attempts.
 	endRetryLimit = 2 * time.Minute
@@ -22,7 +21,6 @@
 
 	mu      sync.Mutex
 	pending map[batch.Ref]struct{}
-	// ctx is canceled by close.
 	ctx     context.Context
 	cancel  context.CancelFunc
 	running sync.WaitGroup
--- a/internal/coldstart/bucket.go
+++ b/internal/coldstart/bucket.go
@@ -19,7 +19,6 @@
 	}
 }
 
-// full reports whether a token is available.
 func (b *bucket) full(now time.Time, rate float64) bool {
 	b.fill(now, rate)
 	// Tolerates rounding: a timer set to the exact moment may find the level just below one token.
@@ -29,7 +28,6 @@
 // take removes one token, which must be available.
 func (b *bucket) take() { b.level-- }
 
-// wait returns the time until a token is available.
 func (b *bucket) wait(now time.Time, rate float64) time.Duration {
 	if b.full(now, rate) {
 		return 0
--- a/internal/coldstart/client.go
+++ b/internal/coldstart/client.go
@@ -16,8 +16,7 @@
 
 const (
 	// maxGrantDelay is the time that a Request and its Reply may take in transit together: the part of GrantLife that the send does not need.
-	maxGrantDelay = GrantLife - forward.GrantedSendTime
-	// maxRequestEngines bounds the engines in one Request, and so its size.
+	maxGrantDelay     = GrantLife - forward.GrantedSendTime
 	maxRequestEngines = 16
 	// failureBackoff is how long Requests for a service and rank are suppressed after one failed, so that waiting requests do not all retry at once
 	// while there is no coordinator.
@@ -141,14 +140,12 @@
 	return found
 }
 
-// isSuppressed reports whether Requests are suppressed now.
 func (c *Client) isSuppressed(key suppressionKey, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return now.Before(c.suppressed[key])
 }
 
-// suppress suppresses Requests for a service and rank for a time.
 func (c *Client) suppress(key suppressionKey, now time.Time, length time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -160,7 +157,6 @@
 	c.suppressed[key] = now.Add(length)
 }
 
-// logFailed logs a failed Request, at most once per logInterval.
 func (c *Client) logFailed(service string, now time.Time, err error) {
 	c.mu.Lock()
 	due := now.Sub(c.lastLogged) >= logInterval
--- a/internal/coldstart/limiter.go
+++ b/internal/coldstart/limiter.go
@@ -318,7 +318,7 @@
 	return true
 }
 
-// free implements Free. The mutex must be held.
+// The mutex must be held.
 func (l *Limiter) free(service, engine string, rank routing.Rank) bool {
 	if !l.leading {
 		return false
--- a/internal/coldstart/replay_test.go
+++ b/internal/coldstart/replay_test.go
@@ -31,8 +31,7 @@
 	// replayServiceTime is an engine's processing time of a request, and replaySlots the number that it processes at once.
 	replayServiceTime = 25 * time.Millisecond
 	replaySlots       = 6
-	// replayDowntime is the downtime of a crashed engine.
-	replayDowntime = time.Second
+	replayDowntime    = time.Second
 	// replayLoad is the total request rate in requests per second, half the capacity of the warm engines.
 	replayLoad   = 480
 	replayLength = 12 * time.Second
@@ -119,7 +118,6 @@
 	})
 }
 
-// entries returns the engine list as in the store.
 func (r *replay) entries() []*fleet.Engine {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -133,7 +131,7 @@
 	return listed
 }
 
-// relay updates a gateway's engine list with a random delay.
+// relay updates a gateway's engine list after a random delay.
 func (r *replay) relay(ctx context.Context, state *fleet.State, random *rand.Rand) {
 	for ctx.Err() == nil {
 		listed := r.entries()
--- a/internal/coldstart/schedules_test.go
+++ b/internal/coldstart/schedules_test.go
@@ -223,7 +223,6 @@
 	}
 }
 
-// answer delivers the answers that a limiter has given.
 func (s *schedule) answer(p *process) {
 	for asked, reply := range p.pending {
 		select {
@@ -256,10 +255,10 @@
 	})
 }
 
-// deliver delivers a message to a process: soon, late or never.
+// deliver sends a message to a process: it arrives soon, late or never.
 func (s *schedule) deliver(to *process, do func()) { s.deliverAfter(0, to, do) }
 
-// deliverAfter is carry with an additional delay.
+// deliverAfter is deliver with an additional delay.
 func (s *schedule) deliverAfter(extra time.Duration, to *process, do func()) {
 	delay := extra + s.between(0, 45*time.Millisecond)
 	switch s.random.IntN(20) {
@@ -373,7 +372,6 @@
 	return count
 }
 
-// worstSecond returns the maximum number of sends to an engine in any second.
 func (s *schedule) worstSecond() (worst int) {
 	for _, sends := range s.sends {
 		slices.SortFunc(sends, time.Time.Compare)
--- a/internal/coldstart/tracker.go
+++ b/internal/coldstart/tracker.go
@@ -70,8 +70,7 @@
 	until time.Time
 	// ignoreWarmUntil is the moment before which entries without cold time are ignored.
 	ignoreWarmUntil time.Time
-	// listedAt is when the engine was last listed.
-	listedAt time.Time
+	listedAt        time.Time
 }
 
 // NewTracker returns a Tracker of the engines of a state. now must be a clock that includes time during which the machine is suspended.
@@ -127,7 +126,6 @@
 	return routes.Services[name]
 }
 
-// anyColdService reports whether any service has a cold rate.
 func anyColdService(routes *routing.Table) bool {
 	if routes == nil {
 		return false
--- a/internal/itemwork/dispatcher.go
+++ b/internal/itemwork/dispatcher.go
@@ -82,8 +82,7 @@
 	registrationSent bool
 	// deadline is when the worker is considered lost unless it calls.
 	deadline time.Time
-	// orders are the orders that the worker has not confirmed.
-	orders []Order
+	orders   []Order
 	// ready is closed when there are orders.
 	ready chan struct{}
 }
@@ -220,7 +219,6 @@
 	return false
 }
 
-// allows reports whether a residency allows the region of a worker.
 func (d *Dispatcher) allows(residency placement.Residency, worker *workerState) bool {
 	if !residency.Restricted() {
 		return true
--- a/internal/itemwork/dispatcher_test.go
+++ b/internal/itemwork/dispatcher_test.go
@@ -28,7 +28,6 @@
 	l.names = append(l.names, worker)
 }
 
-// taken returns the workers lost since the last call.
 func (l *lostWorkers) taken() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/itemwork/executor.go
+++ b/internal/itemwork/executor.go
@@ -21,8 +21,7 @@
 
 const (
 	// eventTimeout is how long an engine may send no event before the run is aborted.
-	eventTimeout = 1600 * time.Millisecond
-	// rewardCallTimeout bounds one reward call.
+	eventTimeout      = 1600 * time.Millisecond
 	rewardCallTimeout = 3 * time.Second
 	// minRewardCallTime is the minimum time that must be left to start a reward call.
 	minRewardCallTime = 250 * time.Millisecond
@@ -97,7 +96,6 @@
 	sink.RewardCallEnded(e.callReward(ctx, assignment.Reward))
 }
 
-// stream sends the item to its engine and reads the answer.
 func (e *Executor) stream(ctx context.Context, assignment *Assignment, sink Sink) (Verdict, error) {
 	if reason := e.check(assignment); reason != placement.Permitted {
 		return VerdictRefused, &withheldError{reason: reason}
@@ -182,7 +180,6 @@
 	return reader.read(answer, eventTimer)
 }
 
-// engine returns the engine of the run.
 func (a *Assignment) engine() *fleet.Engine {
 	return &fleet.Engine{ID: a.Engine.ID, Name: a.Engine.Name, Service: a.Engine.Service, Address: a.Engine.Address, Zone: a.Engine.Zone, Ready: true}
 }
@@ -192,7 +189,6 @@
 	return quarantine.FingerprintOf(a.Tenant, http.MethodPost, a.Host, a.Path, a.Body)
 }
 
-// request returns the request that is sent to the engine.
 func (a *Assignment) request() *forward.Request {
 	header := make(http.Header, len(a.Header))
 	for name, value := range a.Header {
@@ -220,7 +216,6 @@
 	lastID    int64
 }
 
-// read reads events until the stream ends.
 func (r *streamReader) read(answer *forward.Answer, eventTimer *time.Timer) (Verdict, error) {
 	events := eventstream.NewReader(answer.Body, answer.VersionField)
 	var last time.Time
--- a/internal/itemwork/share.go
+++ b/internal/itemwork/share.go
@@ -9,7 +9,6 @@
 )
 
 const (
-	// runsPerWorker is the target number of open items for each worker.
 	runsPerWorker = 8
 	// minWorkers is the minimum number of gateways that run items, so that the loss of one interrupts few runs and each zone has some.
 	minWorkers = 64
--- a/internal/itemwork/text.go
+++ b/internal/itemwork/text.go
@@ -16,8 +16,7 @@
 type Text struct {
 	// Segments are in order. Adjacent ones differ in Version.
 	Segments []Segment
-	// LastID is the ID of the last event.
-	LastID int64
+	LastID   int64
 	// Whole is true once the text is complete.
 	Whole bool
 }
--- a/internal/itemwork/withheld_test.go
+++ b/internal/itemwork/withheld_test.go
@@ -18,7 +18,7 @@
 	"github.com/covelink/covelink/internal/tenants"
 )
 
-// countingEngine counts the requests sent to it. It implements forward.Transport.
+// countingEngine counts the requests sent to it.
 type countingEngine struct {
 	endlessEngine
 	sent atomic.Int64
@@ -29,7 +29,7 @@
 	return e.endlessEngine.Send(ctx, engine, request, options)
 }
 
-// endSink records the end of a stream. It implements itemwork.Sink.
+// endSink records the end of a stream.
 type endSink struct{ end itemwork.End }
 
 func (*endSink) StreamStarted(int64)                {}
--- a/internal/itemwork/worker.go
+++ b/internal/itemwork/worker.go
@@ -20,14 +20,11 @@
 	// endedRunTTL is how long an ended run is kept after it was reported, for a later term.
 	endedRunTTL = 10 * time.Second
 	// maxEndedBytes bounds the total size of the texts of ended runs.
-	maxEndedBytes = 12 << 20
-	// progressInterval is the pause between two progress reports of running streams.
+	maxEndedBytes    = 12 << 20
 	progressInterval = 300 * time.Millisecond
-	// retryPause is the pause after a failed call.
-	retryPause = 150 * time.Millisecond
+	retryPause       = 150 * time.Millisecond
 	// callMargin is the timeout of a call beyond the time that the dispatcher may hold it.
-	callMargin = 700 * time.Millisecond
-	// maxReportBytes bounds the texts of one report call.
+	callMargin     = 700 * time.Millisecond
 	maxReportBytes = 1 << 20
 	// flushTimeout bounds the final reports of a worker that shuts down.
 	flushTimeout = 600 * time.Millisecond
@@ -76,9 +73,8 @@
 	runs       map[RunID]*workerRun
 	runOrder   []RunID
 	// reportNow wakes the reporting loop.
-	reportNow chan struct{}
-	running   sync.WaitGroup
-	// runsCtx is the parent context of all runs.
+	reportNow  chan struct{}
+	running    sync.WaitGroup
 	runsCtx    context.Context
 	cancelRuns context.CancelFunc
 }
@@ -122,7 +118,6 @@
 	w.flush()
 }
 
-// pollUntil polls for orders until ctx ends.
 func (w *Worker) pollUntil(ctx context.Context) {
 	for ctx.Err() == nil {
 		if !w.mustPoll() {
--- a/internal/itemwork/worker_report.go
+++ b/internal/itemwork/worker_report.go
@@ -9,7 +9,6 @@
 	"github.com/covelink/covelink/internal/pause"
 )
 
-// reportUntil reports runs until ctx ends.
 func (w *Worker) reportUntil(ctx context.Context) {
 	for ctx.Err() == nil {
 		timer := time.NewTimer(progressInterval)
@@ -79,7 +78,6 @@
 	return more, nil
 }
 
-// mayReport reports whether the process at an address may receive reports of a run.
 func (w *Worker) mayReport(address string, run *workerRun) bool {
 	return w.MayReport == nil || w.MayReport(address, run.assignment.Run.Term, run.assignment.Residency)
 }
--- a/internal/itemwork/worker_run.go
+++ b/internal/itemwork/worker_run.go
@@ -107,7 +107,6 @@
 	return r.pauseCount > 0 || r.text.Len() > r.reported || r.end.Verdict != r.verdictReported
 }
 
-// resetReported makes the run report everything again.
 func (r *workerRun) resetReported() {
 	r.reported, r.verdictReported, r.endReported, r.announced = 0, VerdictNone, time.Time{}, false
 }
@@ -133,7 +132,6 @@
 	}
 }
 
-// markReported records that a report was accepted.
 func (r *workerRun) markReported(report *Report) {
 	r.announced = true
 	r.reported = max(r.reported, report.From+countEvents(report.Segments))
--- a/internal/itemwork/worker_test.go
+++ b/internal/itemwork/worker_test.go
@@ -43,10 +43,9 @@
 
 // fakeCoordinator is a coordinator with scripted answers.
 type fakeCoordinator struct {
-	mu     sync.Mutex
-	term   int64
-	orders []itemwork.Order
-	// unwanted are the runs that it answers as unwanted.
+	mu       sync.Mutex
+	term     int64
+	orders   []itemwork.Order
 	unwanted map[itemwork.RunID]bool
 	reports  []itemwork.Report
 }
@@ -82,7 +81,6 @@
 	return reply, nil
 }
 
-// set changes the scripted answers.
 func (s *fakeCoordinator) set(change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
