--- a/internal/fleet/state.go
+++ b/internal/fleet/state.go
@@ -49,8 +49,8 @@
 	Evacuations *Evacuations
 	// ready maps each service to its engines that are not draining, sorted by ID.
 	ready map[string][]*Engine
-	// open maps each service to its ready engines outside evacuated zones, sorted by ID.
-	open map[string][]*Engine
+	// dispatchable maps each service to its ready engines outside evacuated zones, sorted by ID.
+	dispatchable map[string][]*Engine
 }
 
 // Ready returns the engines of a service that are not draining, sorted by ID. Package placement decides which of them
@@ -58,7 +58,7 @@
 func (v *View) Ready(service string) []*Engine { return v.ready[service] }
 
 // Open returns the ready engines of a service in zones known not to be evacuated, sorted by ID.
-func (v *View) Open(service string) []*Engine { return v.open[service] }
+func (v *View) Open(service string) []*Engine { return v.dispatchable[service] }
 
 // readyOutsideEvacuations returns the ready engines in zones known not to be evacuated, by service.
 func (v *View) readyOutsideEvacuations() map[string][]*Engine {
@@ -206,7 +206,7 @@
 }
 
 func (s *State) replace(next *View) {
-	next.open = next.readyOutsideEvacuations()
+	next.dispatchable = next.readyOutsideEvacuations()
 	s.view = next
 	close(s.changed)
 	s.changed = make(chan struct{})
--- a/internal/fleetnode/gateway.go
+++ b/internal/fleetnode/gateway.go
@@ -54,7 +54,7 @@
 		Seeds:      config.Coordinators.Seeds,
 		Quarantine: suspects,
 		Lease:      election.KindLeases,
-		Patience:   storerelay.PatienceWithin(config.Timing.CatchUpTime),
+		Patience:   storerelay.FailoverTimeoutWithin(config.Timing.CatchUpTime),
 		Name:       config.Node.Name,
 		Logger:     telemetry.For(logger, telemetry.PartFleet),
 	})
--- a/internal/storerelay/storerelay.go
+++ b/internal/storerelay/storerelay.go
@@ -72,9 +72,9 @@
 // directReadMargin is the time that a client needs to read missed changes from the store.
 const directReadMargin = 450 * time.Millisecond
 
-// PatienceWithin returns the Patience with which a client learns of a store change within limit even if the coordinator
+// FailoverTimeoutWithin returns the Patience with which a client learns of a store change within limit even if the coordinator
 // is lost at the same moment. It is at least DefaultPatience.
-func PatienceWithin(limit time.Duration) time.Duration {
+func FailoverTimeoutWithin(limit time.Duration) time.Duration {
 	return max(DefaultPatience, limit-pollWait-pollMargin-directReadMargin)
 }
 
