--- a/internal/storerelay/client.go
+++ b/internal/storerelay/client.go
@@ -29,7 +29,7 @@
 	// Lease is the kind that holds the coordinator lease. A client without seeds reads it from the store immediately.
 	Lease string
 	// Patience is how long the client waits for a hub after losing one before it follows the store directly; zero means
-	// DefaultPatience.
+	// DefaultFailoverTimeout.
 	Patience time.Duration
 	// Name is the process name, from which the relay is selected.
 	Name string
@@ -75,7 +75,7 @@
 // NewClient returns a Client. It polls once Run is called.
 func NewClient(params ClientParams) *Client {
 	if params.Patience == 0 {
-		params.Patience = DefaultPatience
+		params.Patience = DefaultFailoverTimeout
 	}
 	c := &Client{ClientParams: params, kinds: make(map[string]*subscription), modeChanged: make(chan struct{}), hubLostAt: time.Now()}
 	c.confirmedAt = make(map[string]time.Time)
--- a/internal/storerelay/storerelay.go
+++ b/internal/storerelay/storerelay.go
@@ -28,8 +28,8 @@
 	// maxConfirmationAge is the age above which a snapshot of a hub is stale. It exceeds maxWatchWait plus the pause
 	// between two watches.
 	maxConfirmationAge = 2500 * time.Millisecond
-	// DefaultPatience is the default of ClientParams.Patience.
-	DefaultPatience = 450 * time.Millisecond
+	// DefaultFailoverTimeout is the default of ClientParams.Patience.
+	DefaultFailoverTimeout = 450 * time.Millisecond
 	// failoverCheckInterval is how often a client checks whether it must follow the store directly.
 	failoverCheckInterval = 50 * time.Millisecond
 	// directRetryPause is the pause after a failed call to the store by a client that follows it directly, as hundreds
@@ -52,7 +52,7 @@
 	// list at once.
 	fullListMargin = 2500 * time.Millisecond
 	// relayProbeWait is how long the replacement for a lost relay may take to become fresh, and relayProbeMargin how
-	// long its reply may take beyond that. Two such attempts fit into DefaultPatience.
+	// long its reply may take beyond that. Two such attempts fit into DefaultFailoverTimeout.
 	relayProbeWait   = 250 * time.Millisecond
 	relayProbeMargin = 100 * time.Millisecond
 	// referralWait is how long a poll of a hub that is not the coordinator's waits for a new coordinator.
@@ -73,9 +73,9 @@
 const directReadMargin = 450 * time.Millisecond
 
 // FailoverTimeoutWithin returns the Patience with which a client learns of a store change within limit even if the coordinator
-// is lost at the same moment. It is at least DefaultPatience.
+// is lost at the same moment. It is at least DefaultFailoverTimeout.
 func FailoverTimeoutWithin(limit time.Duration) time.Duration {
-	return max(DefaultPatience, limit-pollWait-pollMargin-directReadMargin)
+	return max(DefaultFailoverTimeout, limit-pollWait-pollMargin-directReadMargin)
 }
 
 // PollRequest requests the changes of some kinds.
--- a/internal/storerelay/takeover_test.go
+++ b/internal/storerelay/takeover_test.go
@@ -190,8 +190,8 @@
 
 func TestPatienceWithin(t *testing.T) {
 	Convey("The timeout leaves time to detect the loss and to catch up, and has a minimum", t, func() {
-		So(storerelay.FailoverTimeoutWithin(2*time.Second), ShouldEqual, storerelay.DefaultPatience)
+		So(storerelay.FailoverTimeoutWithin(2*time.Second), ShouldEqual, storerelay.DefaultFailoverTimeout)
 		So(storerelay.FailoverTimeoutWithin(4*time.Second), ShouldEqual, 2450*time.Millisecond)
-		So(storerelay.FailoverTimeoutWithin(time.Second), ShouldEqual, storerelay.DefaultPatience)
+		So(storerelay.FailoverTimeoutWithin(time.Second), ShouldEqual, storerelay.DefaultFailoverTimeout)
 	})
 }
