--- a/internal/fleetnode/gateway.go
+++ b/internal/fleetnode/gateway.go
@@ -49,14 +49,14 @@
 		return storerelay.Poll(ctx, calls, address, request)
 	}
 	return storerelay.NewClient(storerelay.ClientParams{
-		Direct:     direct,
-		Poll:       poll,
-		Seeds:      config.Coordinators.Seeds,
-		Quarantine: suspects,
-		Lease:      election.KindLeases,
-		Patience:   storerelay.FailoverTimeoutWithin(config.Timing.CatchUpTime),
-		Name:       config.Node.Name,
-		Logger:     telemetry.For(logger, telemetry.PartFleet),
+		Direct:          direct,
+		Poll:            poll,
+		Seeds:           config.Coordinators.Seeds,
+		Quarantine:      suspects,
+		Lease:           election.KindLeases,
+		FailoverTimeout: storerelay.FailoverTimeoutWithin(config.Timing.CatchUpTime),
+		Name:            config.Node.Name,
+		Logger:          telemetry.For(logger, telemetry.PartFleet),
 	})
 }
 
--- a/internal/storerelay/client.go
+++ b/internal/storerelay/client.go
@@ -28,9 +28,9 @@
 	Quarantine *quarantine.Table
 	// Lease is the kind that holds the coordinator lease. A client without seeds reads it from the store immediately.
 	Lease string
-	// Patience is how long the client waits for a hub after losing one before it follows the store directly; zero means
+	// FailoverTimeout is how long the client waits for a hub after losing one before it follows the store directly; zero means
 	// DefaultFailoverTimeout.
-	Patience time.Duration
+	FailoverTimeout time.Duration
 	// Name is the process name, from which the relay is selected.
 	Name string
 	// Relay is set for the client of a relay, which polls the coordinator only.
@@ -74,8 +74,8 @@
 
 // NewClient returns a Client. It polls once Run is called.
 func NewClient(params ClientParams) *Client {
-	if params.Patience == 0 {
-		params.Patience = DefaultFailoverTimeout
+	if params.FailoverTimeout == 0 {
+		params.FailoverTimeout = DefaultFailoverTimeout
 	}
 	c := &Client{ClientParams: params, kinds: make(map[string]*subscription), modeChanged: make(chan struct{}), hubLostAt: time.Now()}
 	c.confirmedAt = make(map[string]time.Time)
@@ -118,7 +118,7 @@
 func (c *Client) hubTimeout(kind string, sub *subscription) time.Duration {
 	switch {
 	case sub.known():
-		return c.Patience
+		return c.FailoverTimeout
 	case kind == c.Lease && len(c.Seeds) == 0:
 		return 0
 	}
--- a/internal/storerelay/storerelay.go
+++ b/internal/storerelay/storerelay.go
@@ -1,6 +1,6 @@
 // Package storerelay distributes snapshots of the metadata store from the coordinator to the other processes, so that
 // the store's request rate does not grow with the fleet. Clients poll a Hub, and follow the store directly if none is
-// fresh within their Patience. A Client's snapshots never go back in revision, and may differ from the store in what
+// fresh within their FailoverTimeout. A Client's snapshots never go back in revision, and may differ from the store in what
 // HubParams.Essence leaves out.
 package storerelay
 
@@ -28,7 +28,7 @@
 	// maxConfirmationAge is the age above which a snapshot of a hub is stale. It exceeds maxWatchWait plus the pause
 	// between two watches.
 	maxConfirmationAge = 2500 * time.Millisecond
-	// DefaultFailoverTimeout is the default of ClientParams.Patience.
+	// DefaultFailoverTimeout is the default of ClientParams.FailoverTimeout.
 	DefaultFailoverTimeout = 450 * time.Millisecond
 	// failoverCheckInterval is how often a client checks whether it must follow the store directly.
 	failoverCheckInterval = 50 * time.Millisecond
@@ -72,7 +72,7 @@
 // directReadMargin is the time that a client needs to read missed changes from the store.
 const directReadMargin = 450 * time.Millisecond
 
-// FailoverTimeoutWithin returns the Patience with which a client learns of a store change within limit even if the coordinator
+// FailoverTimeoutWithin returns the FailoverTimeout with which a client learns of a store change within limit even if the coordinator
 // is lost at the same moment. It is at least DefaultFailoverTimeout.
 func FailoverTimeoutWithin(limit time.Duration) time.Duration {
 	return max(DefaultFailoverTimeout, limit-pollWait-pollMargin-directReadMargin)
--- a/internal/storerelay/takeover_test.go
+++ b/internal/storerelay/takeover_test.go
@@ -84,13 +84,13 @@
 	started.holder.Store("")
 	s.clients = append(s.clients, started)
 	client := storerelay.NewClient(storerelay.ClientParams{
-		Direct:      metastore.NewFollowers(s.store.Client()),
-		Poll:        s.poll,
-		Coordinator: func() string { return started.holder.Load().(string) },
-		Seeds:       seeds,
-		Lease:       leaseKind,
-		Patience:    3 * time.Second,
-		Logger:      log.NewNopLogger(),
+		Direct:          metastore.NewFollowers(s.store.Client()),
+		Poll:            s.poll,
+		Coordinator:     func() string { return started.holder.Load().(string) },
+		Seeds:           seeds,
+		Lease:           leaseKind,
+		FailoverTimeout: 3 * time.Second,
+		Logger:          log.NewNopLogger(),
 	})
 	s.running.Go(func() { client.Run(s.ctx) })
 	s.running.Go(func() { client.Follow(s.ctx, kind, metastore.FollowOptions{Changed: started.record}) })
