--- a/internal/storerelay/client_poll.go
+++ b/internal/storerelay/client_poll.go
@@ -67,8 +67,8 @@
 	}
 	c.mergeQuarantine(reply.Quarantine)
 	c.applyGuidance(reply)
-	if c.Learned != nil && reply.Fresh {
-		c.Learned(reply)
+	if c.OnFreshReply != nil && reply.Fresh {
+		c.OnFreshReply(reply)
 	}
 	return c.applyChanges(reply)
 }
--- a/internal/storerelay/relay.go
+++ b/internal/storerelay/relay.go
@@ -102,7 +102,7 @@
 	Hub *Hub
 	// Direct returns followers of the store, used while the coordinator does not answer.
 	Direct func() *metastore.Followers
-	// Client configures the client that polls the coordinator; Relay sets Direct, Relay, OnConfirmed, Learned and Served.
+	// Client configures the client that polls the coordinator; Relay sets Direct, Relay, OnConfirmed, OnFreshReply and Served.
 	Client ClientParams
 	// Kinds are the kinds that callers request.
 	Kinds  []string
@@ -157,7 +157,7 @@
 	params.Direct = r.Direct()
 	params.Relay = true
 	params.OnConfirmed = r.Hub.confirmAt
-	params.Learned = r.Hub.relaying.applyReply
+	params.OnFreshReply = r.Hub.relaying.applyReply
 	params.Served = func() []ServedProcess { return r.Hub.pollers.servedProcesses(r.Now()) }
 	return NewClient(params)
 }
