--- a/internal/storerelay/client.go
+++ b/internal/storerelay/client.go
@@ -36,11 +36,11 @@
 	// Relay is set for the client of a relay, which polls the coordinator only.
 	Relay bool
 	// OnConfirmed is called with each kind and the boottime at which it was known to be current, OnFreshReply with each fresh
-	// reply; Served returns the processes to report to the coordinator. They are set by relays; each may be nil.
-	OnConfirmed  func(kind string, snapshot metastore.Snapshot, at time.Time)
-	OnFreshReply func(reply PollReply)
-	Served       func() []ServedProcess
-	Logger       log.Logger
+	// reply; ServedProcesses returns the processes to report to the coordinator. They are set by relays; each may be nil.
+	OnConfirmed     func(kind string, snapshot metastore.Snapshot, at time.Time)
+	OnFreshReply    func(reply PollReply)
+	ServedProcesses func() []ServedProcess
+	Logger          log.Logger
 }
 
 // Client maintains copies of kinds of the store, from a hub while one answers and from the store otherwise. It
--- a/internal/storerelay/client_poll.go
+++ b/internal/storerelay/client_poll.go
@@ -87,8 +87,8 @@
 
 func (c *Client) poll(ctx context.Context, address string, mode pollMode) (PollReply, error) {
 	request := PollRequest{Known: c.knownRevisions(), Quarantine: c.quarantineCursor, Wait: pollWait, Relay: c.Relay, Relayed: mode.relay, MayRedirect: mode.mayRedirect}
-	if c.Served != nil {
-		request.Served = c.Served()
+	if c.ServedProcesses != nil {
+		request.Served = c.ServedProcesses()
 	}
 	relayed, _ := c.mode()
 	var timeout time.Duration
--- a/internal/storerelay/relay.go
+++ b/internal/storerelay/relay.go
@@ -102,7 +102,7 @@
 	Hub *Hub
 	// Direct returns followers of the store, used while the coordinator does not answer.
 	Direct func() *metastore.Followers
-	// Client configures the client that polls the coordinator; Relay sets Direct, Relay, OnConfirmed, OnFreshReply and Served.
+	// Client configures the client that polls the coordinator; Relay sets Direct, Relay, OnConfirmed, OnFreshReply and ServedProcesses.
 	Client ClientParams
 	// Kinds are the kinds that callers request.
 	Kinds  []string
@@ -158,6 +158,6 @@
 	params.Relay = true
 	params.OnConfirmed = r.Hub.confirmAt
 	params.OnFreshReply = r.Hub.relaying.applyReply
-	params.Served = func() []ServedProcess { return r.Hub.pollers.servedProcesses(r.Now()) }
+	params.ServedProcesses = func() []ServedProcess { return r.Hub.pollers.servedProcesses(r.Now()) }
 	return NewClient(params)
 }
