--- a/internal/fleetnode/coordinator.go
+++ b/internal/fleetnode/coordinator.go
@@ -198,7 +198,7 @@
 func (c *coordinator) newHub() *storerelay.Hub {
 	return storerelay.NewHub(storerelay.HubParams{
 		Leading:    c.elector.Leading,
-		Essence:    platform.GatewayEssence,
+		ContentKey: platform.GatewayEssence,
 		Alike:      platform.GatewayAlike,
 		Relayed:    platform.GatewayFollows,
 		Quarantine: c.Held.Table,
--- a/internal/storerelay/hub.go
+++ b/internal/storerelay/hub.go
@@ -21,11 +21,11 @@
 type HubParams struct {
 	// Leading reports whether this process is the coordinator.
 	Leading func() bool
-	// Essence returns the part of an object that pollers need; a change that leaves it equal is not sent. Nil means the
+	// ContentKey returns the part of an object that pollers need; a change that leaves it equal is not sent. Nil means the
 	// whole object.
-	Essence func(kind string, object metastore.Object) string
-	// Alike reports whether Essence is known to be equal for two states of an object; false negatives are allowed. It
-	// saves computing Essence for frequent changes such as heartbeats. May be nil.
+	ContentKey func(kind string, object metastore.Object) string
+	// Alike reports whether ContentKey is known to be equal for two states of an object; false negatives are allowed. It
+	// saves computing ContentKey for frequent changes such as heartbeats. May be nil.
 	Alike func(kind string, before, after metastore.Object) bool
 	// Relayed reports whether pollers request a kind; nil means every kind.
 	Relayed func(kind string) bool
@@ -66,8 +66,8 @@
 
 // NewHub returns a Hub without snapshots.
 func NewHub(params HubParams) *Hub {
-	if params.Essence == nil {
-		params.Essence = func(_ string, object metastore.Object) string { return strconv.FormatInt(int64(object.Revision), 10) }
+	if params.ContentKey == nil {
+		params.ContentKey = func(_ string, object metastore.Object) string { return strconv.FormatInt(int64(object.Revision), 10) }
 	}
 	if params.Candidates == nil {
 		params.Candidates = func() []string { return nil }
--- a/internal/storerelay/relayed_kind.go
+++ b/internal/storerelay/relayed_kind.go
@@ -69,7 +69,7 @@
 			k.entries[name] = known
 			return
 		}
-		current := entry{revision: object.Revision, contentKey: h.Essence(kind, object)}
+		current := entry{revision: object.Revision, contentKey: h.ContentKey(kind, object)}
 		if !ok || current.contentKey != known.contentKey {
 			changed = append(changed, historyEntry{name: name, revision: object.Revision})
 		}
--- a/internal/storerelay/storerelay.go
+++ b/internal/storerelay/storerelay.go
@@ -1,7 +1,7 @@
 // Package storerelay distributes snapshots of the metadata store from the coordinator to the other processes, so that
 // the store's request rate does not grow with the fleet. Clients poll a Hub, and follow the store directly if none is
 // fresh within their FailoverTimeout. A Client's snapshots never go back in revision, and may differ from the store in what
-// HubParams.Essence leaves out.
+// HubParams.ContentKey leaves out.
 package storerelay
 
 import (
