--- a/internal/fleetnode/coordinator.go
+++ b/internal/fleetnode/coordinator.go
@@ -197,14 +197,14 @@
 // newHub returns what answers gateways and relays with what this process learns from the store.
 func (c *coordinator) newHub() *storerelay.Hub {
 	return storerelay.NewHub(storerelay.HubParams{
-		Leading:    c.elector.Leading,
-		ContentKey: platform.GatewayEssence,
-		Alike:      platform.GatewayAlike,
-		Relayed:    platform.GatewayFollows,
-		Quarantine: c.Held.Table,
-		Lease:      election.KindLeases,
-		Candidates: c.candidates.Addresses,
-		MaxDirect:  c.Settings.Coordinators.MaxDirect,
+		Leading:     c.elector.Leading,
+		ContentKey:  platform.GatewayEssence,
+		SameContent: platform.GatewayAlike,
+		Relayed:     platform.GatewayFollows,
+		Quarantine:  c.Held.Table,
+		Lease:       election.KindLeases,
+		Candidates:  c.candidates.Addresses,
+		MaxDirect:   c.Settings.Coordinators.MaxDirect,
 
 		WorkerShare: func() float64 { return math.Float64frombits(c.workerShare.Load()) },
 		Logger:      telemetry.For(c.Logger, telemetry.PartFleet),
--- a/internal/storerelay/hub.go
+++ b/internal/storerelay/hub.go
@@ -24,9 +24,9 @@
 	// ContentKey returns the part of an object that pollers need; a change that leaves it equal is not sent. Nil means the
 	// whole object.
 	ContentKey func(kind string, object metastore.Object) string
-	// Alike reports whether ContentKey is known to be equal for two states of an object; false negatives are allowed. It
+	// SameContent reports whether ContentKey is known to be equal for two states of an object; false negatives are allowed. It
 	// saves computing ContentKey for frequent changes such as heartbeats. May be nil.
-	Alike func(kind string, before, after metastore.Object) bool
+	SameContent func(kind string, before, after metastore.Object) bool
 	// Relayed reports whether pollers request a kind; nil means every kind.
 	Relayed func(kind string) bool
 	// Lease is the kind that holds the coordinator lease. It is also sent by a hub that is not the coordinator's.
--- a/internal/storerelay/relayed_kind.go
+++ b/internal/storerelay/relayed_kind.go
@@ -64,7 +64,7 @@
 		if ok && known.revision == object.Revision {
 			return
 		}
-		if before, listed := k.snapshot.Objects.Get(name); ok && listed && h.Alike != nil && h.Alike(kind, before, object) {
+		if before, listed := k.snapshot.Objects.Get(name); ok && listed && h.SameContent != nil && h.SameContent(kind, before, object) {
 			known.revision = object.Revision
 			k.entries[name] = known
 			return
