--- a/internal/storerelay/hub.go
+++ b/internal/storerelay/hub.go
@@ -112,9 +112,9 @@
 	}
 }
 
-// Doubt marks a kind as stale after a failed call to the store. A relay ignores it: it answers from the coordinator's
+// MarkStale marks a kind as stale after a failed call to the store. A relay ignores it: it answers from the coordinator's
 // data, whatever its own access to the store.
-func (h *Hub) Doubt(kind string) {
+func (h *Hub) MarkStale(kind string) {
 	if h.relaying.active() && !h.Leading() {
 		return
 	}
@@ -147,7 +147,7 @@
 func (h *Hub) Attach(followers *metastore.Followers) {
 	followers.Confirmed = h.Confirm
 	followers.Shown = h.recordResponse
-	followers.Doubted = h.Doubt
+	followers.Doubted = h.MarkStale
 	followers.MaxWait = h.maxWait
 }
 
