--- a/internal/fleetnode/coordinator.go
+++ b/internal/fleetnode/coordinator.go
@@ -174,7 +174,7 @@
 	registerHubMetrics(c.Registry, c.hub)
 	relay := c.newRelay(c.hub)
 	c.Zones.SetSource(c.zoneSource(c.hub))
-	c.Grants.LeaseConfirmedAt = func() time.Time { return c.hub.ShownAt(election.KindLeases) }
+	c.Grants.LeaseConfirmedAt = func() time.Time { return c.hub.LastResponseAt(election.KindLeases) }
 	c.server = rpc.NewServer(c.Logger)
 	storerelay.Register(c.server, c.hub)
 	batchrpc.Register(c.server, c.Runner, c)
--- a/internal/storerelay/hub.go
+++ b/internal/storerelay/hub.go
@@ -129,8 +129,8 @@
 	h.changed = make(chan struct{})
 }
 
-// ShownAt returns the boottime at which the store last answered a call for a kind; zero if it never did.
-func (h *Hub) ShownAt(kind string) time.Time {
+// LastResponseAt returns the boottime at which the store last answered a call for a kind; zero if it never did.
+func (h *Hub) LastResponseAt(kind string) time.Time {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.respondedAt[kind]
