--- a/internal/fleetnode/coordinator.go
+++ b/internal/fleetnode/coordinator.go
@@ -319,7 +319,7 @@
 func (c *coordinator) shareWorkers(ctx context.Context) {
 	var need itemwork.Autoscaler
 	logger := telemetry.For(c.Logger, telemetry.PartBatch)
-	began, learned, told := boottime.Now(), c.hub.LearnedWorkerShare(), 0.0
+	began, learned, told := boottime.Now(), c.hub.RelayedWorkerShare(), 0.0
 	for ctx.Err() == nil {
 		open, processes := c.Runner.OpenItems(), c.hub.Processes()
 		share := need.Share(open, processes, boottime.Now())
--- a/internal/storerelay/hub.go
+++ b/internal/storerelay/hub.go
@@ -187,9 +187,9 @@
 // Redirects returns the number of polls answered with a redirect.
 func (h *Hub) Redirects() int64 { return h.redirects.Load() }
 
-// LearnedWorkerShare returns the last WorkerShare received from the coordinator while relaying; zero if none. A new
+// RelayedWorkerShare returns the last WorkerShare received from the coordinator while relaying; zero if none. A new
 // coordinator uses it until it has counted the processes itself.
-func (h *Hub) LearnedWorkerShare() float64 {
+func (h *Hub) RelayedWorkerShare() float64 {
 	_, share := h.relaying.guidance()
 	return share
 }
