--- a/internal/storerelay/hub.go
+++ b/internal/storerelay/hub.go
@@ -178,7 +178,7 @@
 	case !h.Leading():
 		h.referred.add(peer.Name, now)
 	}
-	h.NotePoll(peer, request)
+	h.RecordPoll(peer, request)
 	reply := h.Poll(ctx, request)
 	reply.Crowded = h.MaxDirect > 0 && h.referred.count(now) > h.MaxDirect
 	return reply
--- a/internal/storerelay/pollers.go
+++ b/internal/storerelay/pollers.go
@@ -189,8 +189,8 @@
 	return h.pollers.relayStatuses(kind, h.contentRevision(kind), boottime.Now())
 }
 
-// NotePoll records a poll and the revisions that the process had.
-func (h *Hub) NotePoll(peer rpc.Peer, request PollRequest) {
+// RecordPoll records a poll and the revisions that the process had.
+func (h *Hub) RecordPoll(peer rpc.Peer, request PollRequest) {
 	h.pollers.record(peer, request.Known, boottime.Now())
 }
 
--- a/internal/storerelay/pollers_test.go
+++ b/internal/storerelay/pollers_test.go
@@ -25,9 +25,9 @@
 		So(none.Revision, ShouldEqual, 0)
 		So(none.Holds(storerelay.Poller{}), ShouldBeFalse)
 		hub.Confirm(kind, metastore.SnapshotOf(5, metastore.Object{Name: "a", Revision: 5}))
-		hub.NotePoll(rpc.Peer{Name: "two", Zone: "zone-b"}, pollRequestAt(4))
-		hub.NotePoll(rpc.Peer{Name: "one", Zone: "zone-a"}, pollRequestAt(5))
-		hub.NotePoll(rpc.Peer{Name: "other"}, storerelay.PollRequest{Known: map[string]metastore.Revision{leaseKind: 9}})
+		hub.RecordPoll(rpc.Peer{Name: "two", Zone: "zone-b"}, pollRequestAt(4))
+		hub.RecordPoll(rpc.Peer{Name: "one", Zone: "zone-a"}, pollRequestAt(5))
+		hub.RecordPoll(rpc.Peer{Name: "other"}, storerelay.PollRequest{Known: map[string]metastore.Revision{leaseKind: 9}})
 		spread := hub.Spread(kind)
 		So(spread.Revision, ShouldEqual, 5)
 		So(spread.Pollers, ShouldHaveLength, 2)
@@ -36,7 +36,7 @@
 		So(spread.Holds(spread.Pollers[0]), ShouldBeTrue)
 		So(spread.Holds(spread.Pollers[1]), ShouldBeFalse)
 		Convey("A process counts as up to date from its next poll, and a revision without a content change needs no poll", func() {
-			hub.NotePoll(rpc.Peer{Name: "two", Zone: "zone-b"}, pollRequestAt(5))
+			hub.RecordPoll(rpc.Peer{Name: "two", Zone: "zone-b"}, pollRequestAt(5))
 			hub.Confirm(kind, metastore.SnapshotOf(8, metastore.Object{Name: "a", Revision: 5}))
 			spread := hub.Spread(kind)
 			So(spread.Revision, ShouldEqual, 5)
@@ -47,7 +47,7 @@
 		})
 		Convey("It keeps a bounded number of processes, those with the newest polls", func() {
 			for n := range 6000 {
-				hub.NotePoll(rpc.Peer{Name: fmt.Sprintf("p-%04d", n)}, pollRequestAt(5))
+				hub.RecordPoll(rpc.Peer{Name: fmt.Sprintf("p-%04d", n)}, pollRequestAt(5))
 			}
 			found := hub.Spread(kind).Pollers
 			So(found, ShouldHaveLength, 4096)
@@ -59,7 +59,7 @@
 func TestPollerRetention(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		hub := storerelay.NewHub(storerelay.HubParams{Leading: func() bool { return true }, Lease: leaseKind})
-		hub.NotePoll(rpc.Peer{Name: "one"}, pollRequestAt(1))
+		hub.RecordPoll(rpc.Peer{Name: "one"}, pollRequestAt(1))
 		time.Sleep(4 * time.Minute)
 		if found := hub.Spread(kind).Pollers; len(found) != 1 || found[0].Age != 4*time.Minute {
 			t.Errorf("pollers after 4 minutes: got %v, want one with an age of 4 minutes", found)
