--- a/internal/fleetnode/coordinator.go
+++ b/internal/fleetnode/coordinator.go
@@ -321,7 +321,7 @@
 	logger := telemetry.For(c.Logger, telemetry.PartBatch)
 	began, learned, told := boottime.Now(), c.hub.RelayedWorkerShare(), 0.0
 	for ctx.Err() == nil {
-		open, processes := c.Runner.OpenItems(), c.hub.Processes()
+		open, processes := c.Runner.OpenItems(), c.hub.ProcessCount()
 		share := need.Share(open, processes, boottime.Now())
 		if learned > 0 && boottime.Since(began) < shareSettled {
 			share = learned
--- a/internal/fleetnode/relay_metrics.go
+++ b/internal/fleetnode/relay_metrics.go
@@ -11,7 +11,7 @@
 
 // registerHubMetrics exports whom a process that may coordinate answers.
 func registerHubMetrics(registry *prometheus.Registry, hub *storerelay.Hub) {
-	registerGauge(registry, "polling_processes", "Processes that this one has answered lately, itself or by relays.", hub.Processes)
+	registerGauge(registry, "polling_processes", "Processes that this one has answered lately, itself or by relays.", hub.ProcessCount)
 	registerCount(registry, "polls_redirected_total", "Polls that were answered by sending the caller to a relay.", hub.Redirects)
 	registerGauge(registry, "relaying", "1 while this process answers gateways for the coordinating one.", func() int {
 		if hub.Relaying() {
--- a/internal/storerelay/pollers.go
+++ b/internal/storerelay/pollers.go
@@ -194,9 +194,9 @@
 	h.pollers.record(peer, request.Known, boottime.Now())
 }
 
-// Processes returns the number of active processes that this hub and its relays answer, or of those that polled this hub
+// ProcessCount returns the number of active processes that this hub and its relays answer, or of those that polled this hub
 // if that is larger, as during startup. It takes time linear in that number.
-func (h *Hub) Processes() int {
+func (h *Hub) ProcessCount() int {
 	now := boottime.Now()
 	return max(h.pollers.countActive(now), h.direct.count(now)+h.redirected.count(now))
 }
--- a/internal/storerelay/relay_test.go
+++ b/internal/storerelay/relay_test.go
@@ -55,7 +55,7 @@
 	t.Helper()
 	hub := c.leader.Load().hub
 	relays := hub.Relays(kind)
-	if processes := hub.Processes(); processes != gateways+len(relays) {
+	if processes := hub.ProcessCount(); processes != gateways+len(relays) {
 		t.Errorf("coordinator counts %d processes for %d gateways and %d relays", processes, gateways, len(relays))
 	}
 	answered, holding := 0, 0
