--- a/internal/ctl/zones_test.go
+++ b/internal/ctl/zones_test.go
@@ -26,7 +26,7 @@
 
 	mu     sync.Mutex
 	asked  int
-	spread storerelay.Spread
+	spread storerelay.Propagation
 }
 
 func (z *zoneStore) Evacuate(_ context.Context, zone string) (int64, error) {
@@ -44,7 +44,7 @@
 }
 
 // progress lets the one process that polls learn what is in force once it was asked for a few times.
-func (z *zoneStore) progress() (storerelay.Spread, bool) {
+func (z *zoneStore) progress() (storerelay.Propagation, bool) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	z.asked++
--- a/internal/fleetnode/zones.go
+++ b/internal/fleetnode/zones.go
@@ -35,7 +35,7 @@
 	return zonestatus.Source{
 		Follows:     c.Leading,
 		Coordinator: func() zonestatus.Coordinator { return coordinatorOf(c.elector.Watcher) },
-		Spread: func() (storerelay.Spread, bool) {
+		Spread: func() (storerelay.Propagation, bool) {
 			return platform.SpreadOfEvacuations(hub), c.Leading()
 		},
 		Relays: func() []storerelay.RelayStatus { return hub.Relays(platform.KindConfig) },
--- a/internal/storerelay/pollers.go
+++ b/internal/storerelay/pollers.go
@@ -32,8 +32,8 @@
 	Relay string
 }
 
-// Spread reports which processes have the newest content of a kind.
-type Spread struct {
+// Propagation reports which processes have the newest content of a kind.
+type Propagation struct {
 	// Revision is the revision of the newest content; zero if the kind is unknown.
 	Revision metastore.Revision
 	// Pollers are the processes that follow the kind and have polled within pollerRetention, sorted by name.
@@ -41,7 +41,7 @@
 }
 
 // Holds reports whether a process had the newest content at its last poll.
-func (s Spread) Holds(poller Poller) bool { return s.Revision > 0 && poller.Known >= s.Revision }
+func (s Propagation) Holds(poller Poller) bool { return s.Revision > 0 && poller.Known >= s.Revision }
 
 // pollers records the last poll of each process. It is safe for concurrent use.
 type pollers struct {
@@ -201,10 +201,10 @@
 	return max(h.pollers.countActive(now), h.direct.count(now)+h.redirected.count(now))
 }
 
-// Spread reports which processes have the newest content of a kind. Content sent in reply to a poll counts from the
+// Propagation reports which processes have the newest content of a kind. Content sent in reply to a poll counts from the
 // process's next poll.
-func (h *Hub) Spread(kind string) Spread {
-	return Spread{Pollers: h.pollers.followersOf(kind, boottime.Now()), Revision: h.contentRevision(kind)}
+func (h *Hub) Spread(kind string) Propagation {
+	return Propagation{Pollers: h.pollers.followersOf(kind, boottime.Now()), Revision: h.contentRevision(kind)}
 }
 
 // contentRevision returns the revision of a kind's newest content; zero if the kind is unknown.
--- a/internal/zonestatus/handler.go
+++ b/internal/zonestatus/handler.go
@@ -61,7 +61,7 @@
 	// Coordinator returns the coordinating process; nil if that is never known.
 	Coordinator func() Coordinator
 	// Spread returns which processes know the newest evacuations; false while the process does not coordinate. Nil if it never does.
-	Spread func() (storerelay.Spread, bool)
+	Spread func() (storerelay.Propagation, bool)
 	// Relays returns the processes that answer others while this one coordinates; nil if it never does.
 	Relays func() []storerelay.RelayStatus
 }
@@ -108,7 +108,7 @@
 	return list
 }
 
-func progressOf(spread storerelay.Spread) *Progress {
+func progressOf(spread storerelay.Propagation) *Progress {
 	progress := &Progress{Revision: int64(spread.Revision), Polling: len(spread.Pollers), Behind: []Behind{}}
 	for _, poller := range spread.Pollers {
 		switch {
--- a/internal/zonestatus/zonestatus_test.go
+++ b/internal/zonestatus/zonestatus_test.go
@@ -95,19 +95,19 @@
 			status.SetSource(zonestatus.Source{
 				Follows:     func() bool { return false },
 				Coordinator: func() zonestatus.Coordinator { return zonestatus.Coordinator{Name: "c-1", Address: "10.0.0.1:1"} },
-				Spread:      func() (storerelay.Spread, bool) { return storerelay.Spread{Revision: 1}, false },
+				Spread:      func() (storerelay.Propagation, bool) { return storerelay.Propagation{Revision: 1}, false },
 			})
 			So(list().Coordinator.Name, ShouldEqual, "c-1")
 			So(list().Follows, ShouldBeFalse)
 			So(list().Progress, ShouldBeNil)
 		})
 		Convey("The coordinating one tells who is behind, a bounded number by name", func() {
-			spread := storerelay.Spread{Revision: 12}
+			spread := storerelay.Propagation{Revision: 12}
 			for n := range 50 {
 				spread.Pollers = append(spread.Pollers, storerelay.Poller{Name: fmt.Sprintf("g-%02d", n), Zone: "zone-a", Known: 10, Age: 40 * time.Millisecond})
 			}
 			spread.Pollers[0].Known = 12
-			status.SetSource(zonestatus.Source{Spread: func() (storerelay.Spread, bool) { return spread, true }})
+			status.SetSource(zonestatus.Source{Spread: func() (storerelay.Propagation, bool) { return spread, true }})
 			progress := list().Progress
 			So(progress.Revision, ShouldEqual, 12)
 			So(progress.Holding, ShouldEqual, 1)
