--- a/internal/storerelay/pollers.go
+++ b/internal/storerelay/pollers.go
@@ -203,7 +203,7 @@
 
 // Propagation reports which processes have the newest content of a kind. Content sent in reply to a poll counts from the
 // process's next poll.
-func (h *Hub) Spread(kind string) Propagation {
+func (h *Hub) Propagation(kind string) Propagation {
 	return Propagation{Pollers: h.pollers.followersOf(kind, boottime.Now()), Revision: h.contentRevision(kind)}
 }
 
--- a/internal/storerelay/relay_test.go
+++ b/internal/storerelay/relay_test.go
@@ -66,7 +66,7 @@
 	if answered != gateways-clusterMaxDirect || holding != answered {
 		t.Errorf("relays answer %d of %d gateways, of which %d have the newest content", answered, gateways, holding)
 	}
-	if spread := hub.Spread(kind); len(spread.Pollers) != gateways+len(relays) {
+	if spread := hub.Propagation(kind); len(spread.Pollers) != gateways+len(relays) {
 		t.Errorf("coordinator lists %d pollers", len(spread.Pollers))
 	}
 }
