--- a/internal/storerelay/pollers.go
+++ b/internal/storerelay/pollers.go
@@ -40,8 +40,10 @@
 	Pollers []Poller
 }
 
-// Holds reports whether a process had the newest content at its last poll.
-func (s Propagation) Holds(poller Poller) bool { return s.Revision > 0 && poller.Known >= s.Revision }
+// UpToDate reports whether a process had the newest content at its last poll.
+func (s Propagation) UpToDate(poller Poller) bool {
+	return s.Revision > 0 && poller.Known >= s.Revision
+}
 
 // pollers records the last poll of each process. It is safe for concurrent use.
 type pollers struct {
--- a/internal/zonestatus/handler.go
+++ b/internal/zonestatus/handler.go
@@ -112,7 +112,7 @@
 	progress := &Progress{Revision: int64(spread.Revision), Polling: len(spread.Pollers), Behind: []Behind{}}
 	for _, poller := range spread.Pollers {
 		switch {
-		case spread.Holds(poller):
+		case spread.UpToDate(poller):
 			progress.Holding++
 		case len(progress.Behind) < maxBehind:
 			behind := Behind{Name: poller.Name, Zone: poller.Zone, Revision: int64(poller.Known), PolledMillis: poller.Age.Milliseconds()}
