--- a/internal/ctl/zones_test.go
+++ b/internal/ctl/zones_test.go
@@ -86,7 +86,7 @@
 		})
 		Convey("list of the coordinating process shows who answers others for it", func() {
 			status.SetSource(zonestatus.Source{Spread: store.progress, Relays: func() []storerelay.RelayStatus {
-				return []storerelay.RelayStatus{{Name: "storage-2", Processes: 58, Holding: 57, Age: 20 * time.Millisecond}}
+				return []storerelay.RelayStatus{{Name: "storage-2", Processes: 58, UpToDate: 57, Age: 20 * time.Millisecond}}
 			}})
 			So(zones("list").out, ShouldContainSubstring, "relay storage-2 answers 58 processes, 57 with the newest configuration, polled 20ms ago\n")
 		})
--- a/internal/storerelay/pollers.go
+++ b/internal/storerelay/pollers.go
@@ -159,9 +159,9 @@
 // RelayStatus describes a process that answers polls on behalf of the coordinator.
 type RelayStatus struct {
 	Name string
-	// Processes is the number of active processes that it answers, and Holding how many of those had the newest content
+	// Processes is the number of active processes that it answers, and UpToDate how many of those had the newest content
 	// of a kind at their last poll.
-	Processes, Holding int
+	Processes, UpToDate int
 	// Age is the time since the relay's own last poll.
 	Age time.Duration
 }
@@ -179,7 +179,7 @@
 		status.Name, status.Age = record.relay, now.Sub(p.byName[record.relay].at)
 		status.Processes++
 		if record.known[kind] >= revision {
-			status.Holding++
+			status.UpToDate++
 		}
 		statuses[record.relay] = status
 	}
--- a/internal/storerelay/relay_test.go
+++ b/internal/storerelay/relay_test.go
@@ -61,7 +61,7 @@
 	answered, holding := 0, 0
 	for _, relay := range relays {
 		answered += relay.Processes
-		holding += relay.Holding
+		holding += relay.UpToDate
 	}
 	if answered != gateways-clusterMaxDirect || holding != answered {
 		t.Errorf("relays answer %d of %d gateways, of which %d have the newest content", answered, gateways, holding)
--- a/internal/zonestatus/handler.go
+++ b/internal/zonestatus/handler.go
@@ -125,7 +125,7 @@
 func relaysOf(statuses []storerelay.RelayStatus) []Relay {
 	relays := make([]Relay, 0, len(statuses))
 	for _, status := range statuses {
-		relays = append(relays, Relay{Name: status.Name, Processes: status.Processes, Holding: status.Holding, PolledMillis: status.Age.Milliseconds()})
+		relays = append(relays, Relay{Name: status.Name, Processes: status.Processes, Holding: status.UpToDate, PolledMillis: status.Age.Milliseconds()})
 	}
 	return relays
 }
