--- a/internal/coldstart/tracker.go
+++ b/internal/coldstart/tracker.go
@@ -186,7 +186,7 @@
 	}
 	gone := make(map[string]struct{})
 	for zone := range t.evacuated {
-		if !evacuations.Include(zone) {
+		if !evacuations.Contains(zone) {
 			gone[zone] = struct{}{}
 		}
 	}
--- a/internal/enginescale/manager.go
+++ b/internal/enginescale/manager.go
@@ -103,7 +103,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for subject, desired := range m.desired {
-		s.Evacuated[subject.Zone] = view.Evacuations == nil || view.Evacuations.Include(subject.Zone)
+		s.Evacuated[subject.Zone] = view.Evacuations == nil || view.Evacuations.Contains(subject.Zone)
 		if s.Running[subject] >= desired {
 			delete(m.shortSince, subject)
 			continue
--- a/internal/fleet/evacuations.go
+++ b/internal/fleet/evacuations.go
@@ -21,8 +21,8 @@
 // Revision returns the store revision of the set.
 func (e *Evacuations) Revision() int64 { return e.revision }
 
-// Include reports whether a zone is evacuated.
-func (e *Evacuations) Include(zone string) bool {
+// Contains reports whether a zone is evacuated.
+func (e *Evacuations) Contains(zone string) bool {
 	_, evacuated := e.since[zone]
 	return evacuated
 }
--- a/internal/fleet/state.go
+++ b/internal/fleet/state.go
@@ -71,7 +71,7 @@
 	open := make(map[string][]*Engine, len(v.ready))
 	for service, engines := range v.ready {
 		for _, engine := range engines {
-			if !v.Evacuations.Include(engine.Zone) {
+			if !v.Evacuations.Contains(engine.Zone) {
 				open[service] = append(open[service], engine)
 			}
 		}
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -121,7 +121,7 @@
 		return EngineDraining
 	case f.view.Evacuations == nil:
 		return EvacuationsUnknown
-	case f.view.Evacuations.Include(engine.Zone):
+	case f.view.Evacuations.Contains(engine.Zone):
 		return ZoneEvacuated
 	case f.residency.Restricted() && !f.residency.Allows(f.view.Topology.Region(engine.Zone)):
 		return RegionNotAllowed
