--- a/internal/fleet/ready_lists.go
+++ b/internal/fleet/ready_lists.go
@@ -49,9 +49,9 @@
 	slices.SortFunc(engines, func(a, b *Engine) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// Find returns the index of an ID in engines sorted by ID, or the index at which it would be inserted, and whether it is
+// SearchByID returns the index of an ID in engines sorted by ID, or the index at which it would be inserted, and whether it is
 // present.
-func Find(list []*Engine, id string) (index int, found bool) {
+func SearchByID(list []*Engine, id string) (index int, found bool) {
 	return slices.BinarySearchFunc(list, id, func(engine *Engine, id string) int { return cmp.Compare(engine.ID, id) })
 }
 
@@ -60,7 +60,7 @@
 	kept := make([]*Engine, 0, len(list)-len(removed))
 	from := 0
 	for _, engine := range removed {
-		offset, _ := Find(list[from:], engine.ID)
+		offset, _ := SearchByID(list[from:], engine.ID)
 		kept = append(kept, list[from:from+offset]...)
 		from += offset + 1
 	}
@@ -72,7 +72,7 @@
 	merged := make([]*Engine, 0, len(list)+len(added))
 	from := 0
 	for _, engine := range added {
-		offset, _ := Find(list[from:], engine.ID)
+		offset, _ := SearchByID(list[from:], engine.ID)
 		merged = append(merged, list[from:from+offset]...)
 		merged = append(merged, engine)
 		from += offset
--- a/internal/forward/sampling.go
+++ b/internal/forward/sampling.go
@@ -42,7 +42,7 @@
 	now := p.now()
 	sample := make([]*fleet.Engine, 0, randomSampleSize+len(p.recent.ids))
 	for _, id := range p.recent.ids {
-		place, listed := fleet.Find(engines, id)
+		place, listed := fleet.SearchByID(engines, id)
 		if listed && !p.inBackoff(id, now) {
 			sample = append(sample, engines[place])
 		}
