--- a/internal/fleet/state.go
+++ b/internal/fleet/state.go
@@ -57,8 +57,8 @@
 // may run a request.
 func (v *View) Ready(service string) []*Engine { return v.ready[service] }
 
-// Open returns the ready engines of a service in zones known not to be evacuated, sorted by ID.
-func (v *View) Open(service string) []*Engine { return v.dispatchable[service] }
+// Dispatchable returns the ready engines of a service in zones known not to be evacuated, sorted by ID.
+func (v *View) Dispatchable(service string) []*Engine { return v.dispatchable[service] }
 
 // readyOutsideEvacuations returns the ready engines in zones known not to be evacuated, by service.
 func (v *View) readyOutsideEvacuations() map[string][]*Engine {
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -132,7 +132,7 @@
 // Engines returns the engines of a service that may run the request now, ordered by ID. It takes constant time if the residency is unrestricted.
 // The result must not be modified.
 func (f Filter) Engines(service string) []*fleet.Engine {
-	open := f.view.Open(service)
+	open := f.view.Dispatchable(service)
 	if !f.residency.Restricted() {
 		return open
 	}
