--- a/internal/batchrun/evacuation_test.go
+++ b/internal/batchrun/evacuation_test.go
@@ -242,7 +242,7 @@
 
 func TestUnknownEvacuations(t *testing.T) {
 	runEvacuationScenario(t, "While evacuations are unknown nothing is placed", evacuateTime, func(h *harness) {
-		h.state.FollowEvacuations()
+		h.state.MarkEvacuationsUnknown()
 		h.submitJob(newJob("job", 2))
 		time.Sleep(2 * time.Second)
 		So(h.engines.count(), ShouldEqual, 0)
--- a/internal/batchrun/paths_test.go
+++ b/internal/batchrun/paths_test.go
@@ -143,7 +143,7 @@
 // addProcess returns the executor of a process with an empty view.
 func (h *pathHarness) addProcess(name string, topology fleet.Topology) *itemwork.Executor {
 	state := fleet.NewState()
-	state.FollowEvacuations()
+	state.MarkEvacuationsUnknown()
 	state.SetTopology(topology)
 	h.states = append(h.states, state)
 	transport := &recorder{name: name, state: state, engines: h.engineSet, sends: h.sends}
--- a/internal/enginescale/evacuated_test.go
+++ b/internal/enginescale/evacuated_test.go
@@ -30,7 +30,7 @@
 		defer stop()
 		time.Sleep(10 * time.Second)
 		w.platform.orders()
-		w.state.FollowEvacuations()
+		w.state.MarkEvacuationsUnknown()
 		w.run(3)
 		time.Sleep(30 * time.Second)
 		So(w.platform.orders(), ShouldBeEmpty)
--- a/internal/fleet/state.go
+++ b/internal/fleet/state.go
@@ -94,9 +94,9 @@
 	return &State{view: &View{Evacuations: none}, initial: none, changed: make(chan struct{})}
 }
 
-// FollowEvacuations makes the evacuations unknown until SetEvacuations, for a process that reads them from the store. It
+// MarkEvacuationsUnknown makes the evacuations unknown until SetEvacuations, for a process that reads them from the store. It
 // must be called before the state is used.
-func (s *State) FollowEvacuations() {
+func (s *State) MarkEvacuationsUnknown() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.initial = nil
--- a/internal/fleetnode/node.go
+++ b/internal/fleetnode/node.go
@@ -130,7 +130,7 @@
 	state := fleet.NewState()
 	state.SetTopology(fleet.NewTopology(config.Topology.Regions()))
 	if config.Topology.EvacuateTime > 0 {
-		state.FollowEvacuations()
+		state.MarkEvacuationsUnknown()
 	}
 	return state
 }
--- a/internal/itemwork/withheld_test.go
+++ b/internal/itemwork/withheld_test.go
@@ -93,7 +93,7 @@
 		{name: "Another zone is evacuated", change: func(state *fleet.State) { evacuate(state, "zone-2") }},
 		{
 			name:   "Unknown evacuations",
-			change: func(state *fleet.State) { state.FollowEvacuations() },
+			change: func(state *fleet.State) { state.MarkEvacuationsUnknown() },
 			reason: placement.EvacuationsUnknown,
 		},
 		{name: "The assignment's residency: route", residency: placement.Residency{Route: elsewhere}, reason: placement.RegionNotAllowed},
@@ -158,7 +158,7 @@
 func TestWorkerWithoutEvacuations(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		state := fleet.NewState()
-		state.FollowEvacuations()
+		state.MarkEvacuationsUnknown()
 		var leaving atomic.Bool
 		s := newFakeCoordinator()
 		poll := func(ctx context.Context, address string, request itemwork.PollRequest) (itemwork.PollReply, error) {
--- a/internal/weightorder/evacuated_test.go
+++ b/internal/weightorder/evacuated_test.go
@@ -68,7 +68,7 @@
 	})
 	Convey("No orders are given while the evacuations are not known", t, func() {
 		m, state := zoned(10)
-		state.FollowEvacuations()
+		state.MarkEvacuationsUnknown()
 		m.SetNamed(map[string]int64{"a": 2})
 		So(m.plan(time.Now()), ShouldBeEmpty)
 	})
--- a/internal/zonestatus/zonestatus_test.go
+++ b/internal/zonestatus/zonestatus_test.go
@@ -87,7 +87,7 @@
 			So(list().Progress, ShouldBeNil)
 		})
 		Convey("One that does not know the evacuations says so", func() {
-			state.FollowEvacuations()
+			state.MarkEvacuationsUnknown()
 			So(list().Known, ShouldBeFalse)
 			So(list().Revision, ShouldEqual, 0)
 		})
