--- a/internal/batchrun/paths_test.go
+++ b/internal/batchrun/paths_test.go
@@ -240,7 +240,7 @@
 // mayAccept reports whether the coordinator's view allows it to accept a job.
 func (h *pathHarness) mayAccept(job *batch.Job) bool {
 	view := h.states[0].View()
-	if view.Routes == nil && view.Topology.Regional() {
+	if view.Routes == nil && view.Topology.MultiRegion() {
 		return false
 	}
 	return jobresidency.Whole(view.Routes, job).Allows(view.Topology.Region(coordinatorZone))
--- a/internal/batchrun/residency.go
+++ b/internal/batchrun/residency.go
@@ -23,7 +23,7 @@
 // residencyUnknown reports whether the regions allowed for jobs are unknown: the deployment has regions but no route table has arrived yet.
 func (r *Runner) residencyUnknown() bool {
 	view := r.State.View()
-	return view.Routes == nil && view.Topology.Regional()
+	return view.Routes == nil && view.Topology.MultiRegion()
 }
 
 // awaitResidency waits until the regions allowed for jobs are known. It returns false if ctx ends first.
--- a/internal/fleet/topology.go
+++ b/internal/fleet/topology.go
@@ -19,8 +19,8 @@
 // Zones returns the known zones, sorted.
 func (t Topology) Zones() []string { return slices.Sorted(maps.Keys(t.regions)) }
 
-// Regional reports whether the known zones are in more than one region.
-func (t Topology) Regional() bool {
+// MultiRegion reports whether the known zones are in more than one region.
+func (t Topology) MultiRegion() bool {
 	first := ""
 	for _, region := range t.regions {
 		if first == "" {
--- a/internal/fleetnode/coordinator.go
+++ b/internal/fleetnode/coordinator.go
@@ -165,7 +165,7 @@
 		Zone:      c.Settings.Node.Zone,
 		Logger:    c.logger,
 	}
-	if topology := c.State.View().Topology; topology.Regional() {
+	if topology := c.State.View().Topology; topology.MultiRegion() {
 		params.Region, params.Distance = topology.Region, c.Outage.CallTime
 	}
 	c.elector = election.New(params)
@@ -341,7 +341,7 @@
 // followHome gives the elector the home regions, anew with each route table and each reward route, until ctx ends. It does nothing in a deployment
 // of one region.
 func (c *coordinator) followHome(ctx context.Context) {
-	if !c.State.View().Topology.Regional() {
+	if !c.State.View().Topology.MultiRegion() {
 		return
 	}
 	for ctx.Err() == nil {
--- a/internal/jobresidency/jobresidency.go
+++ b/internal/jobresidency/jobresidency.go
@@ -18,7 +18,7 @@
 // calls and all bound tenants allow them; any tenant may submit to any batch route. It returns nil if nothing is bound. It also returns nil if no
 // region of the deployment is allowed by all, as then none serves every job.
 func Home(table *routing.Table, topology fleet.Topology, rewardRoutes []string) []string {
-	if table == nil || !topology.Regional() {
+	if table == nil || !topology.MultiRegion() {
 		return nil
 	}
 	bound := placement.Residency{Accepted: jobSets(table, rewardRoutes)}
