--- a/internal/fleetnode/coordinator.go
+++ b/internal/fleetnode/coordinator.go
@@ -251,7 +251,7 @@
 // AnswerPing implements batchrpc.Lease.
 func (c *coordinator) AnswerPing(request batchrpc.PingRequest) batchrpc.PingReply {
 	c.candidates.Note(request.Candidate)
-	c.Clock.Note(request.Candidate, request.Now)
+	c.Clock.AddVote(request.Candidate, request.Now)
 	return batchrpc.PingReply{Leading: request.Instance == c.elector.Instance() && c.Leading(), Unserved: c.Outage.Length()}
 }
 
--- a/internal/fleettime/fleettime.go
+++ b/internal/fleettime/fleettime.go
@@ -102,9 +102,9 @@
 	return &Consensus{Own: own, votes: make(map[string]vote)}
 }
 
-// Note records the time just received from the Local of another machine. Transit delay makes that clock appear behind by
+// AddVote records the time just received from the Local of another machine. Transit delay makes that clock appear behind by
 // as much.
-func (c *Consensus) Note(machine string, reading time.Time) {
+func (c *Consensus) AddVote(machine string, reading time.Time) {
 	if machine == "" || reading.IsZero() {
 		return
 	}
--- a/internal/fleettime/fleettime_test.go
+++ b/internal/fleettime/fleettime_test.go
@@ -24,7 +24,7 @@
 		clock := NewConsensus(NewLocal(m.now))
 		note := func(names string, step time.Duration) {
 			for _, name := range names {
-				clock.Note(string(name), m.now().Add(step))
+				clock.AddVote(string(name), m.now().Add(step))
 			}
 		}
 		note("abcdefg", 0)
@@ -37,15 +37,15 @@
 		m := newMachine()
 		clock := NewConsensus(NewLocal(m.now))
 		for _, name := range []string{"a", "b", "c", "d"} {
-			clock.Note(name, m.now().Add(3*time.Second))
+			clock.AddVote(name, m.now().Add(3*time.Second))
 		}
 		So(clock.At(m.now()).Sub(m.now().Round(0)), ShouldEqual, 3*time.Second)
 	})
 	Convey("Votes expire", t, func() {
 		m := newMachine()
 		clock := NewConsensus(NewLocal(m.now))
-		clock.Note("a", m.now().Add(time.Hour))
-		clock.Note("b", m.now().Add(time.Hour))
+		clock.AddVote("a", m.now().Add(time.Hour))
+		clock.AddVote("b", m.now().Add(time.Hour))
 		m.elapsed += voteTTL + time.Second
 		So(clock.At(m.now()).Sub(m.now().Round(0)), ShouldEqual, 0)
 	})
