--- a/internal/fleettime/fleettime.go
+++ b/internal/fleettime/fleettime.go
@@ -152,9 +152,9 @@
 	return &Remote{origin: origin{began: now()}, now: now}
 }
 
-// Note records a time that the source returned in an exchange between two moments. The error is at most half of the
+// AddSample records a time that the source returned in an exchange between two moments. The error is at most half of the
 // round trip, so that a sample is replaced by one with a shorter round trip, or once it expires.
-func (r *Remote) Note(sent, received, reported time.Time) {
+func (r *Remote) AddSample(sent, received, reported time.Time) {
 	if reported.IsZero() {
 		return
 	}
--- a/internal/fleettime/fleettime_test.go
+++ b/internal/fleettime/fleettime_test.go
@@ -113,7 +113,7 @@
 		exchange := func(roundTrip, ahead time.Duration) {
 			asked := m.now()
 			m.elapsed += roundTrip
-			clock.Note(asked, m.now(), asked.Add(roundTrip/2).Add(ahead))
+			clock.AddSample(asked, m.now(), asked.Add(roundTrip/2).Add(ahead))
 		}
 		exchange(20*time.Millisecond, time.Second)
 		So(clock.Known(), ShouldBeTrue)
@@ -129,7 +129,7 @@
 	Convey("A zero time is ignored", t, func() {
 		m := newMachine()
 		clock := NewRemote(m.now)
-		clock.Note(m.now(), m.now(), time.Time{})
+		clock.AddSample(m.now(), m.now(), time.Time{})
 		So(clock.Known(), ShouldBeFalse)
 	})
 }
--- a/internal/fleettime/suspended_test.go
+++ b/internal/fleettime/suspended_test.go
@@ -14,7 +14,7 @@
 	Convey("Local and Remote advance over a suspension", t, func() {
 		local, remote := NewLocal(boottime.Now), NewRemote(boottime.Now)
 		asked := boottime.Now()
-		remote.Note(asked, boottime.Now(), local.At(boottime.Now()))
+		remote.AddSample(asked, boottime.Now(), local.At(boottime.Now()))
 		before := boottime.Now()
 		localBefore, remoteBefore := local.At(before), remote.At(before)
 		boottime.SimulateSuspension(suspension)
--- a/internal/usage/teller.go
+++ b/internal/usage/teller.go
@@ -177,7 +177,7 @@
 	if err != nil {
 		return err
 	}
-	t.Clock.Note(asked, boottime.Now(), reply.Now)
+	t.Clock.AddSample(asked, boottime.Now(), reply.Now)
 	if !reply.Taken {
 		return errNotTaken
 	}
