--- a/internal/storerelay/hub.go
+++ b/internal/storerelay/hub.go
@@ -206,7 +206,7 @@
 	return !h.direct.admit(name, now, h.MaxDirect)
 }
 
-// redirectReply returns a redirectReply to the relays, with changes of the lease only.
+// redirectReply returns a redirect to the relays, with changes of the lease only.
 func (h *Hub) redirectReply(request PollRequest) PollReply {
 	h.redirects.Add(1)
 	reply := PollReply{Redirect: true, Crowded: true, Candidates: h.Candidates()}
@@ -268,7 +268,7 @@
 	return referralWait
 }
 
-// currentReply returns the reply as of currentReply, and the channels that are closed on the next change of the kinds and of the
+// currentReply returns the reply as of now, and the channels that are closed on the next change of the kinds and of the
 // quarantine table.
 func (h *Hub) currentReply(request PollRequest) (reply PollReply, changed, quarantineChanged <-chan struct{}) {
 	reply, changed = h.storeChanges(request)
@@ -289,7 +289,7 @@
 	return news, changed
 }
 
-// storeChanges returns the current storeChanges of the requested kinds, and a channel that is closed on the next change; nil
+// storeChanges returns the current changes of the requested kinds, and a channel that is closed on the next change; nil
 // if waiting cannot help.
 func (h *Hub) storeChanges(request PollRequest) (reply PollReply, changed <-chan struct{}) {
 	leading, serves := h.Leading(), h.canServe(request)
--- a/internal/storerelay/pollers.go
+++ b/internal/storerelay/pollers.go
@@ -53,7 +53,7 @@
 	servedReportedAt time.Time
 }
 
-// pollRecord is the last pollRecord of a process.
+// pollRecord is the last poll of a process.
 type pollRecord struct {
 	zone  string
 	known map[string]metastore.Revision
--- a/internal/storerelay/pollers_test.go
+++ b/internal/storerelay/pollers_test.go
@@ -18,7 +18,7 @@
 	return storerelay.PollRequest{Known: map[string]metastore.Revision{kind: revision}}
 }
 
-func TestSpread(t *testing.T) {
+func TestPropagation(t *testing.T) {
 	Convey("A hub reports which processes had the newest content of a kind at their last poll", t, func() {
 		hub := storerelay.NewHub(storerelay.HubParams{Leading: func() bool { return true }, Lease: leaseKind})
 		none := hub.Propagation(kind)
@@ -28,20 +28,20 @@
 		hub.RecordPoll(rpc.Peer{Name: "two", Zone: "zone-b"}, pollRequestAt(4))
 		hub.RecordPoll(rpc.Peer{Name: "one", Zone: "zone-a"}, pollRequestAt(5))
 		hub.RecordPoll(rpc.Peer{Name: "other"}, storerelay.PollRequest{Known: map[string]metastore.Revision{leaseKind: 9}})
-		spread := hub.Propagation(kind)
-		So(spread.Revision, ShouldEqual, 5)
-		So(spread.Pollers, ShouldHaveLength, 2)
-		So(spread.Pollers[0].Name, ShouldEqual, "one")
-		So(spread.Pollers[1].Zone, ShouldEqual, "zone-b")
-		So(spread.UpToDate(spread.Pollers[0]), ShouldBeTrue)
-		So(spread.UpToDate(spread.Pollers[1]), ShouldBeFalse)
+		propagation := hub.Propagation(kind)
+		So(propagation.Revision, ShouldEqual, 5)
+		So(propagation.Pollers, ShouldHaveLength, 2)
+		So(propagation.Pollers[0].Name, ShouldEqual, "one")
+		So(propagation.Pollers[1].Zone, ShouldEqual, "zone-b")
+		So(propagation.UpToDate(propagation.Pollers[0]), ShouldBeTrue)
+		So(propagation.UpToDate(propagation.Pollers[1]), ShouldBeFalse)
 		Convey("A process counts as up to date from its next poll, and a revision without a content change needs no poll", func() {
 			hub.RecordPoll(rpc.Peer{Name: "two", Zone: "zone-b"}, pollRequestAt(5))
 			hub.Confirm(kind, metastore.SnapshotOf(8, metastore.Object{Name: "a", Revision: 5}))
-			spread := hub.Propagation(kind)
-			So(spread.Revision, ShouldEqual, 5)
-			So(spread.UpToDate(spread.Pollers[0]), ShouldBeTrue)
-			So(spread.UpToDate(spread.Pollers[1]), ShouldBeTrue)
+			propagation := hub.Propagation(kind)
+			So(propagation.Revision, ShouldEqual, 5)
+			So(propagation.UpToDate(propagation.Pollers[0]), ShouldBeTrue)
+			So(propagation.UpToDate(propagation.Pollers[1]), ShouldBeTrue)
 			hub.Confirm(kind, metastore.Snapshot{Revision: 9})
 			So(hub.Propagation(kind).Revision, ShouldEqual, 9)
 		})
--- a/internal/storerelay/relay.go
+++ b/internal/storerelay/relay.go
@@ -35,7 +35,7 @@
 	workerShare float64
 }
 
-// active reports whether the hub answers active behalf of the coordinator.
+// active reports whether the hub answers on behalf of the coordinator.
 func (r *relayState) active() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/storerelay/relay_test.go
+++ b/internal/storerelay/relay_test.go
@@ -66,8 +66,8 @@
 	if answered != gateways-clusterMaxDirect || holding != answered {
 		t.Errorf("relays answer %d of %d gateways, of which %d have the newest content", answered, gateways, holding)
 	}
-	if spread := hub.Propagation(kind); len(spread.Pollers) != gateways+len(relays) {
-		t.Errorf("coordinator lists %d pollers", len(spread.Pollers))
+	if propagation := hub.Propagation(kind); len(propagation.Pollers) != gateways+len(relays) {
+		t.Errorf("coordinator lists %d pollers", len(propagation.Pollers))
 	}
 }
 
--- a/internal/storerelay/storerelay.go
+++ b/internal/storerelay/storerelay.go
@@ -51,8 +51,8 @@
 	// fullListMargin replaces pollMargin for a client without a snapshot, as all clients of a hub may request the full
 	// list at once.
 	fullListMargin = 2500 * time.Millisecond
-	// relayProbeWait is how long the replacement for a lost relay may take to become fresh, and relayProbeMargin how
-	// long its reply may take beyond that. Two such attempts fit into DefaultFailoverTimeout.
+	// relayProbeWait is how long the replacement for a lost relay may take to become fresh, and relayProbeMargin how long
+	// its reply may take beyond that. A replacement that is lost too thus costs less than DefaultFailoverTimeout.
 	relayProbeWait   = 250 * time.Millisecond
 	relayProbeMargin = 100 * time.Millisecond
 	// referralWait is how long a poll of a hub that is not the coordinator's waits for a new coordinator.
--- a/internal/storerelay/takeover_test.go
+++ b/internal/storerelay/takeover_test.go
@@ -188,7 +188,7 @@
 	})
 }
 
-func TestPatienceWithin(t *testing.T) {
+func TestFailoverTimeoutWithin(t *testing.T) {
 	Convey("The timeout leaves time to detect the loss and to catch up, and has a minimum", t, func() {
 		So(storerelay.FailoverTimeoutWithin(2*time.Second), ShouldEqual, storerelay.DefaultFailoverTimeout)
 		So(storerelay.FailoverTimeoutWithin(4*time.Second), ShouldEqual, 2450*time.Millisecond)
--- a/internal/storerelay/target_selector.go
+++ b/internal/storerelay/target_selector.go
@@ -20,7 +20,7 @@
 // need a second one.
 const maxAttemptsPerRelay = 2
 
-// targetSelector selects the process that a client polls: targetSelector in random order or, after a redirect, relays in the
+// targetSelector selects the process that a client polls: candidates in random order or, after a redirect, relays in the
 // order of a rendezvous hash of the client's name, which balances clients over relays without coordination. It is not
 // safe for concurrent use.
 type targetSelector struct {
@@ -98,7 +98,7 @@
 	return c.coordinatorOrCandidate(coordinator), pollMode{mayRedirect: !c.relaysExhausted}
 }
 
-// currentRelay returns the currentRelay to poll; "" if the client was not redirected, or if every currentRelay has failed.
+// currentRelay returns the relay to poll; "" if the client was not redirected, or if every relay has failed.
 func (c *targetSelector) currentRelay(coordinator string) string {
 	if !c.redirected || c.relaysExhausted {
 		return ""
@@ -138,7 +138,7 @@
 	return coordinator
 }
 
-// recordRedirect records a recordRedirect by the coordinator. It reports whether a relay can be polled immediately, which is
+// recordRedirect records a redirect by the coordinator. It reports whether a relay can be polled immediately, which is
 // not so if all of them have failed.
 func (c *targetSelector) recordRedirect() bool {
 	first := !c.redirected
@@ -148,7 +148,7 @@
 
 func (c *targetSelector) recordSuccess() { c.failures, c.relayAttempts = 0, 0 }
 
-// recordFailure records a recordFailure attempt and its duration.
+// recordFailure records a failed attempt and its duration.
 func (c *targetSelector) recordFailure(took time.Duration) {
 	c.failures++
 	c.lastFailedFast = took < fastFailureLimit
