--- a/internal/fleet/evacuations.go
+++ b/internal/fleet/evacuations.go
@@ -12,8 +12,7 @@
 	since map[string]int64
 }
 
-// NewEvacuations returns the evacuations as of a revision. since maps each evacuated zone to the revision at which its
-// evacuation began.
+// NewEvacuations returns the evacuations as of a revision. since maps each evacuated zone to the revision at which its evacuation began.
 func NewEvacuations(revision int64, since map[string]int64) *Evacuations {
 	return &Evacuations{revision: revision, since: maps.Clone(since)}
 }
--- a/internal/fleet/ready_lists.go
+++ b/internal/fleet/ready_lists.go
@@ -6,8 +6,7 @@
 	"slices"
 )
 
-// readyLists updates the lists of ready engines by service, each sorted by ID. Unchanged lists are shared with the
-// previous view.
+// readyLists updates the lists of ready engines by service, each sorted by ID. Unchanged lists are shared with the previous view.
 type readyLists struct {
 	lists          map[string][]*Engine
 	added, removed map[string][]*Engine
@@ -49,8 +48,7 @@
 	slices.SortFunc(engines, func(a, b *Engine) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// SearchByID returns the index of an ID in engines sorted by ID, or the index at which it would be inserted, and whether it is
-// present.
+// SearchByID returns the index of an ID in engines sorted by ID, or the index at which it would be inserted, and whether it is present.
 func SearchByID(list []*Engine, id string) (index int, found bool) {
 	return slices.BinarySearchFunc(list, id, func(engine *Engine, id string) int { return cmp.Compare(engine.ID, id) })
 }
--- a/internal/fleet/state.go
+++ b/internal/fleet/state.go
@@ -1,6 +1,5 @@
-// Package fleet holds a process's view of the deployment: the active route table, the listed engines, the regions of
-// zones and the evacuated zones. Each is replaced as a whole; routes and evacuations never go back to an earlier
-// version.
+// Package fleet holds a process's view of the deployment: the active route table, the listed engines, the regions of zones and the evacuated
+// zones. Each is replaced as a whole; routes and evacuations never go back to an earlier version.
 package fleet
 
 import (
@@ -12,8 +11,8 @@
 	"github.com/covelink/covelink/internal/sharedmap"
 )
 
-// Engine is one incarnation of an engine process. A restart is a different Engine with a different ID, so that state
-// keyed by ID does not survive a restart.
+// Engine is one incarnation of an engine process. A restart is a different Engine with a different ID, so that state keyed by ID does not
+// survive a restart.
 type Engine struct {
 	// ID identifies the incarnation within the deployment.
 	ID string
@@ -29,8 +28,8 @@
 	Ready bool
 	// Versions maps each loaded model to its weight version.
 	Versions map[string]int64
-	// ColdRemaining is how much longer the engine warms up, limited to its service's cold rate, as of the writing of its
-	// entry; zero for a warm engine.
+	// ColdRemaining is how much longer the engine warms up, limited to its service's cold rate, as of the writing of its entry; zero for a
+	// warm engine.
 	ColdRemaining time.Duration
 }
 
@@ -53,8 +52,7 @@
 	dispatchable map[string][]*Engine
 }
 
-// Ready returns the engines of a service that are not draining, sorted by ID. Package placement decides which of them
-// may run a request.
+// Ready returns the engines of a service that are not draining, sorted by ID. Package placement decides which of them may run a request.
 func (v *View) Ready(service string) []*Engine { return v.ready[service] }
 
 // Dispatchable returns the ready engines of a service in zones known not to be evacuated, sorted by ID.
@@ -94,8 +92,8 @@
 	return &State{view: &View{Evacuations: none}, initial: none, changed: make(chan struct{})}
 }
 
-// MarkEvacuationsUnknown makes the evacuations unknown until SetEvacuations, for a process that reads them from the store. It
-// must be called before the state is used.
+// MarkEvacuationsUnknown makes the evacuations unknown until SetEvacuations, for a process that reads them from the store. It must be called
+// before the state is used.
 func (s *State) MarkEvacuationsUnknown() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -114,8 +112,7 @@
 	s.replace(&next)
 }
 
-// SetEvacuations replaces the evacuations. It reports false, and changes nothing, if the current ones have a later
-// revision.
+// SetEvacuations replaces the evacuations. It reports false, and changes nothing, if the current ones have a later revision.
 func (s *State) SetEvacuations(evacuations *Evacuations) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -142,16 +139,15 @@
 	return s.view, s.changed
 }
 
-// Reset discards everything except the topology, which comes from the settings. It is for a process that has not
-// followed the deployment for a while.
+// Reset discards everything except the topology, which comes from the settings. It is for a process that has not followed the deployment for a
+// while.
 func (s *State) Reset() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.replace(&View{Topology: s.view.Topology, Evacuations: s.initial})
 }
 
-// SetRoutes activates a route table. It reports false, and changes nothing, if the table is not newer than the active
-// one.
+// SetRoutes activates a route table. It reports false, and changes nothing, if the table is not newer than the active one.
 func (s *State) SetRoutes(table *routing.Table) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -164,8 +160,7 @@
 	return true
 }
 
-// SetEngines replaces the engines. Its cost grows with the number of changed engines, apart from a copy of each changed
-// service's list.
+// SetEngines replaces the engines. Its cost grows with the number of changed engines, apart from a copy of each changed service's list.
 func (s *State) SetEngines(engines sharedmap.Map[*Engine]) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fleettime/fleettime.go
+++ b/internal/fleettime/fleettime.go
@@ -1,9 +1,8 @@
-// Package fleettime estimates true time on machines whose wall clocks may step. It measures with the monotonic clock and
-// adds an offset: that of the local wall clock (Local), the median of several machines (Consensus), or that of another
-// process (Remote).
+// Package fleettime estimates true time on machines whose wall clocks may step. It measures with the boottime clock and adds an offset: that
+// of the local wall clock (Local), the median of several machines (Consensus), or that of another process (Remote).
 //
-// A step counts once it has lasted for stepConfirmation. Shorter steps, and lasting ones on fewer than half of the
-// machines of a Consensus, have no effect; nor has any local step on a Remote that has a sample.
+// A step counts once it has lasted for stepConfirmation. Shorter steps, and lasting ones on fewer than half of the machines of a Consensus,
+// have no effect; nor has any local step on a Remote that has a sample.
 package fleettime
 
 import (
@@ -15,15 +14,14 @@
 )
 
 const (
-	// stepConfirmation is how long a wall clock step must last before it is accepted, so that one which is corrected
-	// soon has no effect.
+	// stepConfirmation is how long a wall clock step must last before it is accepted, so that one which is corrected soon has no effect.
 	stepConfirmation = time.Minute
 	// maxDrift is the largest offset change between two readings that counts as drift rather than as a step.
 	maxDrift = 20 * time.Millisecond
 	// voteTTL is how long a machine's vote counts. Candidates send theirs several times a second.
 	voteTTL = 5 * time.Second
-	// sampleTTL is how long a sample is preferred over newer ones with a longer round trip. Monotonic clocks drift apart
-	// by less than a millisecond in that time.
+	// sampleTTL is how long a sample is preferred over newer ones with a longer round trip. Boottime clocks drift apart by less than a
+	// millisecond in that time.
 	sampleTTL = time.Minute
 )
 
@@ -33,11 +31,13 @@
 	At(moment time.Time) time.Time
 }
 
-// origin is the wall clock reading to which the monotonic clock is anchored, so that later steps have no effect.
+// origin is the wall clock reading to which the boottime clock is anchored, so that later steps have no effect.
 type origin struct{ began time.Time }
 
-// steady returns what the wall clock would show at a moment had it not stepped since the origin.
-func (o origin) steady(moment time.Time) time.Time { return o.began.Round(0).Add(moment.Sub(o.began)) }
+// wallTime returns what the wall clock would show at a moment had it not stepped since the origin.
+func (o origin) wallTime(moment time.Time) time.Time {
+	return o.began.Round(0).Add(moment.Sub(o.began))
+}
 
 // Local is the clock of this machine. It is safe for concurrent use.
 type Local struct {
@@ -46,10 +46,9 @@
 	// wall returns the wall clock reading at a moment just returned by now.
 	wall func(moment time.Time) time.Time
 	mu   sync.Mutex
-	// offset is the accepted offset of the wall clock from the monotonic clock.
+	// offset is the accepted offset of the wall clock from the boottime clock.
 	offset time.Duration
-	// pendingOffset is the offset after a step that is not yet accepted, and pendingSince when the step was first seen;
-	// zero if there is none.
+	// pendingOffset is the offset after a step that is not yet accepted, and pendingSince when the step was first seen; zero if there is none.
 	pendingOffset time.Duration
 	pendingSince  time.Time
 }
@@ -60,14 +59,16 @@
 }
 
 // At implements Clock.
-func (l *Local) At(moment time.Time) time.Time { return l.origin.steady(moment).Add(l.updateOffset()) }
+func (l *Local) At(moment time.Time) time.Time {
+	return l.origin.wallTime(moment).Add(l.updateOffset())
+}
 
 // updateOffset reads the wall clock, and returns the accepted offset.
 func (l *Local) updateOffset() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
-	offset := l.wall(now).Sub(l.origin.steady(now))
+	offset := l.wall(now).Sub(l.origin.wallTime(now))
 	switch {
 	case withinDrift(offset, l.offset):
 		l.offset, l.pendingSince = offset, time.Time{}
@@ -91,7 +92,7 @@
 	votes map[string]vote
 }
 
-// vote is the offset of another machine's clock from the local monotonic clock.
+// vote is the offset of another machine's clock from the local boottime clock.
 type vote struct {
 	offset time.Duration
 	at     time.Time
@@ -102,8 +103,7 @@
 	return &Consensus{Own: own, votes: make(map[string]vote)}
 }
 
-// AddVote records the time just received from the Local of another machine. Transit delay makes that clock appear behind by
-// as much.
+// AddVote records the time just received from the Local of another machine. Transit delay makes that clock appear behind by as much.
 func (c *Consensus) AddVote(machine string, reading time.Time) {
 	if machine == "" || reading.IsZero() {
 		return
@@ -111,7 +111,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.Own.now()
-	c.votes[machine] = vote{offset: reading.Round(0).Sub(c.Own.origin.steady(now)), at: now}
+	c.votes[machine] = vote{offset: reading.Round(0).Sub(c.Own.origin.wallTime(now)), at: now}
 }
 
 // At implements Clock. It takes the median of the votes that have not expired.
@@ -128,11 +128,10 @@
 		offsets = append(offsets, entry.offset)
 	}
 	slices.Sort(offsets)
-	return c.Own.origin.steady(moment).Add(offsets[(len(offsets)-1)/2])
+	return c.Own.origin.wallTime(moment).Add(offsets[(len(offsets)-1)/2])
 }
 
-// Remote is the time of another process; until a sample is recorded, that of the local wall clock. It is safe for
-// concurrent use.
+// Remote is the time of another process; until a sample is recorded, that of the local wall clock. It is safe for concurrent use.
 type Remote struct {
 	origin origin
 	now    func() time.Time
@@ -152,8 +151,8 @@
 	return &Remote{origin: origin{began: now()}, now: now}
 }
 
-// AddSample records a time that the source returned in an exchange between two moments. The error is at most half of the
-// round trip, so that a sample is replaced by one with a shorter round trip, or once it expires.
+// AddSample records a time that the source returned in an exchange between two moments. The error is at most half of the round trip, so that a
+// sample is replaced by one with a shorter round trip, or once it expires.
 func (r *Remote) AddSample(sent, received, reported time.Time) {
 	if reported.IsZero() {
 		return
@@ -165,7 +164,7 @@
 	if fresh && roundTrip > r.sample.roundTrip {
 		return
 	}
-	middle := r.origin.steady(sent.Add(roundTrip / 2))
+	middle := r.origin.wallTime(sent.Add(roundTrip / 2))
 	r.sample = sample{offset: reported.Round(0).Sub(middle), roundTrip: roundTrip, at: r.now()}
 }
 
@@ -183,5 +182,5 @@
 	if r.sample.at.IsZero() {
 		return boottime.Wall(moment)
 	}
-	return r.origin.steady(moment).Add(r.sample.offset)
+	return r.origin.wallTime(moment).Add(r.sample.offset)
 }
--- a/internal/sharedmap/sharedmap.go
+++ b/internal/sharedmap/sharedmap.go
@@ -1,5 +1,5 @@
-// Package sharedmap implements an immutable map with string keys. Modified copies share unchanged shards, so that an
-// edit and a diff cost in proportion to the number of changed entries.
+// Package sharedmap implements an immutable map with string keys. Modified copies share unchanged shards, so that an edit and a diff cost in
+// proportion to the number of changed entries.
 package sharedmap
 
 import (
@@ -67,12 +67,11 @@
 	}
 }
 
-// Identical reports whether two maps share all shards, with no entry set or deleted between them. It may be false for equal
-// maps.
+// Identical reports whether two maps share all shards, with no entry set or deleted between them. It may be false for equal maps.
 func Identical[V any](a, b Map[V]) bool { return a.shards == b.shards }
 
-// Diff calls changed for the entries of after that may differ from before, and removed for the keys missing from after.
-// Unchanged entries of a modified shard are reported too, so that the caller must compare values.
+// Diff calls changed for the entries of after that may differ from before, and removed for the keys missing from after. Unchanged entries of a
+// modified shard are reported too, so that the caller must compare values.
 func Diff[V any](before, after Map[V], changed func(key string, value V), removed func(key string)) {
 	for number := range shardCount {
 		old, current := before.shard(number), after.shard(number)
--- a/internal/storerelay/client.go
+++ b/internal/storerelay/client.go
@@ -35,16 +35,15 @@
 	Name string
 	// Relay is set for the client of a relay, which polls the coordinator only.
 	Relay bool
-	// OnConfirmed is called with each kind and the boottime at which it was known to be current, OnFreshReply with each fresh
-	// reply; ServedProcesses returns the processes to report to the coordinator. They are set by relays; each may be nil.
+	// OnConfirmed is called with each kind and the boottime at which it was known to be current, OnFreshReply with each fresh reply;
+	// ServedProcesses returns the processes to report to the coordinator. They are set by relays; each may be nil.
 	OnConfirmed     func(kind string, snapshot metastore.Snapshot, at time.Time)
 	OnFreshReply    func(reply PollReply)
 	ServedProcesses func() []ServedProcess
 	Logger          log.Logger
 }
 
-// Client maintains copies of kinds of the store, from a hub while one answers and from the store otherwise. It
-// implements metastore.Follower.
+// Client maintains copies of kinds of the store, from a hub while one answers and from the store otherwise. It implements metastore.Follower.
 type Client struct {
 	ClientParams
 
@@ -142,8 +141,8 @@
 	}
 }
 
-// WorkerShare returns the fraction of gateways that run batch items, from 0 to 1; zero means all. known is false until a
-// fresh reply was received.
+// WorkerShare returns the fraction of gateways that run batch items, from 0 to 1; zero means all. known is false until a fresh reply was
+// received.
 func (c *Client) WorkerShare() (share float64, known bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -167,8 +166,8 @@
 	return false
 }
 
-// hubOverdue reports whether no hub has answered within the timeout. While the lease is followed, other kinds wait until
-// it can be read from the store, so that a store that is down receives one call per client.
+// hubOverdue reports whether no hub has answered within the timeout. While the lease is followed, other kinds wait until it can be read from
+// the store, so that a store that is down receives one call per client.
 func (c *Client) hubOverdue(kind string, known bool, timeout time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/storerelay/client_poll.go
+++ b/internal/storerelay/client_poll.go
@@ -13,8 +13,7 @@
 
 // Run polls the coordinator or a relay until ctx ends. While neither answers, it polls the candidates.
 func (c *Client) Run(ctx context.Context) {
-	// A hub answers a poll without kinds as fresh. Polling before kinds are followed would count as a hub gained and
-	// lost.
+	// A hub answers a poll without kinds as fresh. Polling before kinds are followed would count as a hub gained and lost.
 	pause.For(ctx, firstPollDelay)
 	targets := newTargetSelector(c.Name, c.Seeds)
 	for ctx.Err() == nil {
@@ -73,8 +72,7 @@
 	return c.applyChanges(reply)
 }
 
-// recordConfirmations records the time as of which a reply is current. The hub received the poll after started, and
-// answered Held later.
+// recordConfirmations records the time as of which a reply is current. The hub received the poll after started, and answered Held later.
 func (c *Client) recordConfirmations(reply PollReply, started time.Time) {
 	at := started.Add(reply.Held - reply.Age)
 	kinds := c.subscriptions()
--- a/internal/storerelay/hub.go
+++ b/internal/storerelay/hub.go
@@ -21,11 +21,10 @@
 type HubParams struct {
 	// Leading reports whether this process is the coordinator.
 	Leading func() bool
-	// ContentKey returns the part of an object that pollers need; a change that leaves it equal is not sent. Nil means the
-	// whole object.
+	// ContentKey returns the part of an object that pollers need; a change that leaves it equal is not sent. Nil means the whole object.
 	ContentKey func(kind string, object metastore.Object) string
-	// SameContent reports whether ContentKey is known to be equal for two states of an object; false negatives are allowed. It
-	// saves computing ContentKey for frequent changes such as heartbeats. May be nil.
+	// SameContent reports whether ContentKey is known to be equal for two states of an object; false negatives are allowed. It saves computing
+	// ContentKey for frequent changes such as heartbeats. May be nil.
 	SameContent func(kind string, before, after metastore.Object) bool
 	// Relayed reports whether pollers request a kind; nil means every kind.
 	Relayed func(kind string) bool
@@ -35,8 +34,8 @@
 	Quarantine *quarantine.Table
 	// Candidates returns the internal addresses of the other coordinator candidates; nil if they are unknown.
 	Candidates func() []string
-	// MaxDirect bounds the processes, other than relays, that the coordinator's hub answers; zero means no bound. It has
-	// no effect while no candidate is known that could relay.
+	// MaxDirect bounds the processes, other than relays, that the coordinator's hub answers; zero means no bound. It has no effect while no
+	// candidate is known that could relay.
 	MaxDirect int
 	// WorkerShare returns the WorkerShare of replies; nil means all.
 	WorkerShare func() float64
@@ -44,13 +43,12 @@
 	Logger log.Logger
 }
 
-// Hub caches the newest snapshots of the kinds that its process follows and answers polls from them. It is safe for
-// concurrent use.
+// Hub caches the newest snapshots of the kinds that its process follows and answers polls from them. It is safe for concurrent use.
 type Hub struct {
 	HubParams
 	pollers pollers
-	// direct are the processes that the coordinator's hub answers, redirected those that it redirects to relays, and
-	// referred those that another hub refers to the coordinator.
+	// direct are the processes that the coordinator's hub answers, redirected those that it redirects to relays, and referred those that
+	// another hub refers to the coordinator.
 	direct, redirected, referred recentPeers
 	relaying                     relayState
 	// redirects counts the polls answered with a redirect.
@@ -58,8 +56,7 @@
 
 	mu    sync.Mutex
 	kinds map[string]*relayedKind
-	// respondedAt is when the store last answered a call for each kind, even if a later call has failed
-	// (metastore.Followers.Shown).
+	// respondedAt is when the store last answered a call for each kind, even if a later call has failed (metastore.Followers.Shown).
 	respondedAt map[string]time.Time
 	changed     chan struct{}
 }
@@ -112,8 +109,8 @@
 	}
 }
 
-// MarkStale marks a kind as stale after a failed call to the store. A relay ignores it: it answers from the coordinator's
-// data, whatever its own access to the store.
+// MarkStale marks a kind as stale after a failed call to the store. A relay ignores it: it answers from the coordinator's data, whatever its
+// own access to the store.
 func (h *Hub) MarkStale(kind string) {
 	if h.relaying.active() && !h.Leading() {
 		return
@@ -187,8 +184,8 @@
 // Redirects returns the number of polls answered with a redirect.
 func (h *Hub) Redirects() int64 { return h.redirects.Load() }
 
-// RelayedWorkerShare returns the last WorkerShare received from the coordinator while relaying; zero if none. A new
-// coordinator uses it until it has counted the processes itself.
+// RelayedWorkerShare returns the last WorkerShare received from the coordinator while relaying; zero if none. A new coordinator uses it until
+// it has counted the processes itself.
 func (h *Hub) RelayedWorkerShare() float64 {
 	_, share := h.relaying.guidance()
 	return share
@@ -197,8 +194,7 @@
 // Relaying reports whether the hub answers on behalf of the coordinator.
 func (h *Hub) Relaying() bool { return h.relaying.active() }
 
-// shouldRedirect reports whether the coordinator's hub redirects a process. Processes that it already answers are not
-// redirected.
+// shouldRedirect reports whether the coordinator's hub redirects a process. Processes that it already answers are not redirected.
 func (h *Hub) shouldRedirect(name string, now time.Time) bool {
 	if h.MaxDirect <= 0 || len(h.Candidates()) == 0 {
 		return false
@@ -224,14 +220,13 @@
 	return reply
 }
 
-// canServe reports whether the hub may answer a request from its cache, rather than only refer the caller to the
-// coordinator.
+// canServe reports whether the hub may answer a request from its cache, rather than only refer the caller to the coordinator.
 func (h *Hub) canServe(request PollRequest) bool {
 	return h.Leading() || (request.Relayed && h.relaying.active())
 }
 
-// waitReply returns a reply as soon as it has content, or once the wait is over. A hub that is asked to relay and is not
-// fresh by then gets another ReadyWait to become so.
+// waitReply returns a reply as soon as it has content, or once the wait is over. A hub that is asked to relay and is not fresh by then gets
+// another ReadyWait to become so.
 func (h *Hub) waitReply(ctx context.Context, request PollRequest) PollReply {
 	reply := h.waitForChange(ctx, request, h.waitLimit(request), false)
 	if reply.Fresh || request.ReadyWait == 0 {
@@ -268,16 +263,14 @@
 	return referralWait
 }
 
-// currentReply returns the reply as of now, and the channels that are closed on the next change of the kinds and of the
-// quarantine table.
+// currentReply returns the reply as of now, and the channels that are closed on the next change of the kinds and of the quarantine table.
 func (h *Hub) currentReply(request PollRequest) (reply PollReply, changed, quarantineChanged <-chan struct{}) {
 	reply, changed = h.storeChanges(request)
 	reply.Quarantine, quarantineChanged = h.quarantineUpdates(request.Quarantine)
 	return reply, changed, quarantineChanged
 }
 
-// quarantineUpdates returns the new records of the quarantine table, and a channel that is closed on the next change;
-// nil without a table.
+// quarantineUpdates returns the new records of the quarantine table, and a channel that is closed on the next change; nil without a table.
 func (h *Hub) quarantineUpdates(known quarantine.Cursor) (quarantine.News, <-chan struct{}) {
 	if h.Quarantine == nil {
 		return quarantine.News{}, nil
@@ -289,8 +282,8 @@
 	return news, changed
 }
 
-// storeChanges returns the current changes of the requested kinds, and a channel that is closed on the next change; nil
-// if waiting cannot help.
+// storeChanges returns the current changes of the requested kinds, and a channel that is closed on the next change; nil if waiting cannot
+// help.
 func (h *Hub) storeChanges(request PollRequest) (reply PollReply, changed <-chan struct{}) {
 	leading, serves := h.Leading(), h.canServe(request)
 	reply.Candidates, reply.WorkerShare = h.guidance(leading)
--- a/internal/storerelay/pollers.go
+++ b/internal/storerelay/pollers.go
@@ -159,8 +159,8 @@
 // RelayStatus describes a process that answers polls on behalf of the coordinator.
 type RelayStatus struct {
 	Name string
-	// Processes is the number of active processes that it answers, and UpToDate how many of those had the newest content
-	// of a kind at their last poll.
+	// Processes is the number of active processes that it answers, and UpToDate how many of those had the newest content of a kind at their
+	// last poll.
 	Processes, UpToDate int
 	// Age is the time since the relay's own last poll.
 	Age time.Duration
@@ -196,15 +196,14 @@
 	h.pollers.record(peer, request.Known, boottime.Now())
 }
 
-// ProcessCount returns the number of active processes that this hub and its relays answer, or of those that polled this hub
-// if that is larger, as during startup. It takes time linear in that number.
+// ProcessCount returns the number of active processes that this hub and its relays answer, or of those that polled this hub if that is larger,
+// as during startup. It takes time linear in that number.
 func (h *Hub) ProcessCount() int {
 	now := boottime.Now()
 	return max(h.pollers.countActive(now), h.direct.count(now)+h.redirected.count(now))
 }
 
-// Propagation reports which processes have the newest content of a kind. Content sent in reply to a poll counts from the
-// process's next poll.
+// Propagation reports which processes have the newest content of a kind. Content sent in reply to a poll counts from the process's next poll.
 func (h *Hub) Propagation(kind string) Propagation {
 	return Propagation{Pollers: h.pollers.followersOf(kind, boottime.Now()), Revision: h.contentRevision(kind)}
 }
--- a/internal/storerelay/recent_peers.go
+++ b/internal/storerelay/recent_peers.go
@@ -27,8 +27,7 @@
 	r.set(name, now)
 }
 
-// admit adds a name, or refreshes it if present. It reports false, and adds nothing, if the set already has limit other
-// names.
+// admit adds a name, or refreshes it if present. It reports false, and adds nothing, if the set already has limit other names.
 func (r *recentPeers) admit(name string, now time.Time, limit int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/storerelay/relay.go
+++ b/internal/storerelay/relay.go
@@ -17,8 +17,8 @@
 	relayIdleTimeout = 10 * time.Second
 	// relayCheckInterval is how often a relay checks whether it is still needed.
 	relayCheckInterval = 500 * time.Millisecond
-	// servedReportInterval limits how often a relay reports the processes that it answers, which would otherwise
-	// dominate the size of its polls.
+	// servedReportInterval limits how often a relay reports the processes that it answers, which would otherwise dominate the size of its
+	// polls.
 	servedReportInterval = 2 * time.Second
 )
 
@@ -111,8 +111,8 @@
 	Now func() time.Time
 }
 
-// Relay keeps the hub of a process that is not the coordinator in step with the coordinator's hub while processes poll
-// it. It never polls another relay, so that two relays cannot confirm each other's stale data.
+// Relay keeps the hub of a process that is not the coordinator in step with the coordinator's hub while processes poll it. It never polls
+// another relay, so that two relays cannot confirm each other's stale data.
 type Relay struct{ RelayParams }
 
 // NewRelay returns a Relay. It relays once Run is called.
--- a/internal/storerelay/relay_cluster_test.go
+++ b/internal/storerelay/relay_cluster_test.go
@@ -34,8 +34,7 @@
 	answers, whole atomic.Int64
 }
 
-// relayCluster is a store, several candidates of which one is the coordinator, and more gateways than its hub answers
-// directly.
+// relayCluster is a store, several candidates of which one is the coordinator, and more gateways than its hub answers directly.
 type relayCluster struct {
 	store      *metastoretest.Store
 	candidates []*candidate
--- a/internal/storerelay/relay_test.go
+++ b/internal/storerelay/relay_test.go
@@ -71,8 +71,7 @@
 	}
 }
 
-// During a rolling upgrade, candidates of the old version cannot relay and gateways of the old version cannot be
-// redirected.
+// During a rolling upgrade, candidates of the old version cannot relay and gateways of the old version cannot be redirected.
 func TestMixedVersions(t *testing.T) {
 	runRelayCluster(t, 4, 30, func(t *testing.T, c *relayCluster) {
 		for _, process := range c.candidates[1:] {
@@ -131,8 +130,8 @@
 	})
 }
 
-// runRandomSchedule applies changes, candidate outages and changes of the coordinator in a seeded random order, and
-// checks the gateways after each step.
+// runRandomSchedule applies changes, candidate outages and changes of the coordinator in a seeded random order, and checks the gateways after
+// each step.
 func (c *relayCluster) runRandomSchedule(t *testing.T, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 0))
 	written := []time.Time{boottime.Now()}
@@ -167,8 +166,7 @@
 	}
 }
 
-// Enforcement of revoked keys and evacuated zones relies on ConfirmedAt: no gateway may report a time later than a
-// change that it lacks.
+// Enforcement of revoked keys and evacuated zones relies on ConfirmedAt: no gateway may report a time later than a change that it lacks.
 func TestConfirmedAtThroughRelays(t *testing.T) {
 	for seed := range uint64(25) {
 		runRelayCluster(t, 4, 20, func(t *testing.T, c *relayCluster) { c.runRandomSchedule(t, seed) })
--- a/internal/storerelay/relayed_kind.go
+++ b/internal/storerelay/relayed_kind.go
@@ -20,12 +20,12 @@
 	entries map[string]entry
 	// confirmed is the boottime as of which the snapshot is known to be current; zero if it is stale.
 	confirmed time.Time
-	// removals are the newest removed objects by ascending revision. historyFloor is the revision after which removals
-	// and changes are complete.
+	// removals are the newest removed objects by ascending revision. historyFloor is the revision after which removals and changes are
+	// complete.
 	removals     []historyEntry
 	historyFloor metastore.Revision
-	// changes are the newest objects changed for pollers, by ascending revision, so that the cost of an update depends
-	// on the number of changes, not of objects.
+	// changes are the newest objects changed for pollers, by ascending revision, so that the cost of an update depends on the number of
+	// changes, not of objects.
 	changes []historyEntry
 	// packed is the encoded full list as of packedRevision. Parts that pollers do not need may be older.
 	packed         []byte
@@ -38,8 +38,7 @@
 // revisionSpan identifies a range of changes by the revision of the first and the resulting content revision.
 type revisionSpan struct{ first, last metastore.Revision }
 
-// minPackedObjects is the number of objects from which a change is encoded once for all callers. Smaller changes are
-// cheaper to send unpacked.
+// minPackedObjects is the number of objects from which a change is encoded once for all callers. Smaller changes are cheaper to send unpacked.
 const minPackedObjects = 16
 
 // entry is the content of an object for pollers.
@@ -55,8 +54,8 @@
 	revision metastore.Revision
 }
 
-// recordDiff records which objects the next snapshot changes or removes. It reports whether any of that matters to
-// pollers. The mutex must be held.
+// recordDiff records which objects the next snapshot changes or removes. It reports whether any of that matters to pollers. The mutex must be
+// held.
 func (h *Hub) recordDiff(kind string, k *relayedKind, next metastore.Snapshot) bool {
 	var changed, removed []historyEntry
 	sharedmap.Diff(k.snapshot.Objects, next.Objects, func(name string, object metastore.Object) {
@@ -111,8 +110,7 @@
 	return entries[first:]
 }
 
-// hasChangesSince reports whether a caller with the given revision needs an update. A caller without a snapshot also
-// needs an empty list.
+// hasChangesSince reports whether a caller with the given revision needs an update. A caller without a snapshot also needs an empty list.
 func (k *relayedKind) hasChangesSince(revision metastore.Revision) bool {
 	return k.contentRevision > revision || revision == 0 && k.snapshot.Revision > 0
 }
@@ -141,8 +139,8 @@
 	return h.packShared(k, change, changes)
 }
 
-// packShared returns a change with its objects encoded if there are many, reusing the encoding for callers that lack the
-// same changes. The mutex must be held.
+// packShared returns a change with its objects encoded if there are many, reusing the encoding for callers that lack the same changes. The
+// mutex must be held.
 func (h *Hub) packShared(k *relayedKind, change Change, changes []historyEntry) Change {
 	if len(change.Objects) < minPackedObjects {
 		return change
--- a/internal/storerelay/subscription.go
+++ b/internal/storerelay/subscription.go
@@ -70,8 +70,7 @@
 	s.onChange(s.snapshot)
 }
 
-// advanceRevision raises the revision of an unchanged snapshot, so that a later watch does not need history that the
-// store has compacted.
+// advanceRevision raises the revision of an unchanged snapshot, so that a later watch does not need history that the store has compacted.
 func (s *subscription) advanceRevision(revision metastore.Revision) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/storerelay/suspended_test.go
+++ b/internal/storerelay/suspended_test.go
@@ -10,8 +10,7 @@
 	"github.com/covelink/covelink/internal/storerelay"
 )
 
-// A hub must not report stale snapshots as fresh after its machine was suspended, during which the monotonic clock
-// stops.
+// A hub must not report stale snapshots as fresh after its machine was suspended, during which the monotonic clock stops.
 func TestHubStaleAfterSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		hub := storerelay.NewHub(storerelay.HubParams{Leading: func() bool { return true }, Lease: leaseKind})
--- a/internal/storerelay/target_selector.go
+++ b/internal/storerelay/target_selector.go
@@ -9,32 +9,28 @@
 	"github.com/covelink/covelink/coord/rendezvous"
 )
 
-// coordinatorAttemptInterval makes every third attempt of a client without a hub go to the last known coordinator. The
-// others go to candidates, which learn of a takeover first; an unreachable coordinator costs the full poll timeout.
+// coordinatorAttemptInterval makes every third attempt of a client without a hub go to the last known coordinator. The others go to
+// candidates, which learn of a takeover first; an unreachable coordinator costs the full poll timeout.
 const coordinatorAttemptInterval = 3
 
 // fastFailureLimit separates a busy process, which answers faster, from an unreachable or frozen one.
 const fastFailureLimit = 300 * time.Millisecond
 
-// maxAttemptsPerRelay bounds the polls of one relay that return no data. The first poll starts the relay, so that it may
-// need a second one.
+// maxAttemptsPerRelay bounds the polls of one relay that return no data. The first poll starts the relay, so that it may need a second one.
 const maxAttemptsPerRelay = 2
 
-// targetSelector selects the process that a client polls: candidates in random order or, after a redirect, relays in the
-// order of a rendezvous hash of the client's name, which balances clients over relays without coordination. It is not
-// safe for concurrent use.
+// targetSelector selects the process that a client polls: candidates in random order or, after a redirect, relays in the order of a rendezvous
+// hash of the client's name, which balances clients over relays without coordination. It is not safe for concurrent use.
 type targetSelector struct {
 	// name is the client's process name.
 	name string
-	// redirected is set once the coordinator has redirected the client. relays are the peers in the client's rendezvous
-	// order.
+	// redirected is set once the coordinator has redirected the client. relays are the peers in the client's rendezvous order.
 	redirected bool
 	relays     []string
-	// relayIndex is the relay in use; a client stays with a relay that answers. relayAttempts counts that relay's
-	// answers without usable data.
+	// relayIndex is the relay in use; a client stays with a relay that answers. relayAttempts counts that relay's answers without usable data.
 	relayIndex, relayAttempts int
-	// relaysExhausted is set after every relay has failed. The coordinator is then polled without permission to
-	// redirect, until the peers change.
+	// relaysExhausted is set after every relay has failed. The coordinator is then polled without permission to redirect, until the peers
+	// change.
 	relaysExhausted bool
 	// seeds are configured; peers were received from a hub.
 	seeds, peers []string
@@ -86,8 +82,7 @@
 	mayRedirect bool
 }
 
-// selectTarget returns the process to poll next, and how; "" if none is known. coordinator is the known coordinator, or
-// "".
+// selectTarget returns the process to poll next, and how; "" if none is known. coordinator is the known coordinator, or "".
 func (c *targetSelector) selectTarget(coordinator string) (address string, mode pollMode) {
 	if coordinator != c.coordinator {
 		c.coordinator, c.failures = coordinator, 0
@@ -138,8 +133,8 @@
 	return coordinator
 }
 
-// recordRedirect records a redirect by the coordinator. It reports whether a relay can be polled immediately, which is
-// not so if all of them have failed.
+// recordRedirect records a redirect by the coordinator. It reports whether a relay can be polled immediately, which is not so if all of them
+// have failed.
 func (c *targetSelector) recordRedirect() bool {
 	first := !c.redirected
 	c.redirected, c.relayIndex, c.relayAttempts = true, 0, 0
