--- a/internal/weightorder/evacuated_test.go
+++ b/internal/weightorder/evacuated_test.go
@@ -14,8 +14,8 @@
 	"github.com/covelink/covelink/internal/routing"
 )
 
-// zoned is a manager of so many engines, by turns in two zones.
-func zoned(engines int) (*Manager, *fleet.State) {
+// newZonedManager returns a manager whose engines alternate between two zones.
+func newZonedManager(engines int) (*Manager, *fleet.State) {
 	state := fleet.NewState()
 	state.SetRoutes(routing.NewTable(1, nil, []routing.Service{{Name: "pool", Models: []string{"a"}}}, routing.Limits{}))
 	var listed []*fleet.Engine
@@ -36,44 +36,44 @@
 	state.SetEvacuations(fleet.NewEvacuations(revision, since))
 }
 
-// oneOrder counts orders, and reports engines that hold version 1. After its first report it does what the test asks for.
-type oneOrder struct {
-	reported func()
+// refusingEngines reports version 1, calls reported on each report, and counts and refuses orders.
+type refusingEngines struct {
+	onReport func()
 	orders   int
 }
 
-func (o *oneOrder) Report(context.Context, *fleet.Engine) (Report, error) {
-	o.reported()
+func (o *refusingEngines) Report(context.Context, *fleet.Engine) (Report, error) {
+	o.onReport()
 	return Report{Versions: map[string]int64{"a": 1}}, nil
 }
 
-func (o *oneOrder) Order(context.Context, *fleet.Engine, Order) error {
+func (o *refusingEngines) Order(context.Context, *fleet.Engine, Order) error {
 	o.orders++
 	return ErrRefused
 }
 
 func TestEvacuatedZones(t *testing.T) {
-	Convey("Engines of an evacuated zone get no orders, and catch up once the zone is restored", t, func() {
-		m, state := zoned(10)
+	Convey("Engines of an evacuated zone receive no orders, and catch up once the zone is restored", t, func() {
+		m, state := newZonedManager(10)
 		m.SetNamed(map[string]int64{"a": 2})
 		evacuate(state, 1, "zone-0")
 		So(loadAll(m), ShouldResemble, map[string]int{"a": 5})
-		for id := range m.held {
+		for id := range m.reported {
 			engine, _ := state.View().Engines.Get(id)
 			So(engine.Zone, ShouldEqual, "zone-1")
 		}
 		evacuate(state, 2)
 		So(loadAll(m), ShouldResemble, map[string]int{"a": 5})
-		So(m.held, ShouldHaveLength, 10)
+		So(m.reported, ShouldHaveLength, 10)
 	})
-	Convey("No orders are given while the evacuations are not known", t, func() {
-		m, state := zoned(10)
+	Convey("No orders are sent while evacuations are unknown", t, func() {
+		m, state := newZonedManager(10)
 		state.FollowEvacuations()
 		m.SetNamed(map[string]int64{"a": 2})
 		So(m.plan(time.Now()), ShouldBeEmpty)
 	})
-	Convey("Loads that are under way in an evacuated zone count among those that load at once", t, func() {
-		m, state := zoned(20)
+	Convey("Loads in progress in an evacuated zone count towards the concurrent loads", t, func() {
+		m, state := newZonedManager(20)
 		m.SetNamed(map[string]int64{"a": 2})
 		evacuate(state, 1, "zone-1")
 		loading := m.plan(time.Now())
@@ -81,11 +81,11 @@
 		evacuate(state, 2, "zone-0")
 		So(m.plan(time.Now()), ShouldBeEmpty)
 	})
-	Convey("A zone that is evacuated between plan and order gets no order", t, func() {
-		m, state := zoned(2)
+	Convey("A zone evacuated between plan and order receives no order", t, func() {
+		m, state := newZonedManager(2)
 		m.Loaded = func(string, string, int64) {}
 		m.SetNamed(map[string]int64{"a": 2})
-		engines := &oneOrder{reported: func() { evacuate(state, 1, "zone-0") }}
+		engines := &refusingEngines{onReport: func() { evacuate(state, 1, "zone-0") }}
 		m.Engines = engines
 		engine, _ := state.View().Engines.Get("engine-000")
 		target := move{engine: engine, model: "a", version: 2}
--- a/internal/weightorder/manager.go
+++ b/internal/weightorder/manager.go
@@ -1,10 +1,8 @@
-// Package weightorder moves engines to the weight versions that trainers name, by orders that only the coordinating process
-// gives.
+// Package weightorder orders engines to load the weight versions that trainers publish. Only the coordinator sends orders.
 //
-// Guarantees: an order is given only within a short time after it was recorded in the store, which no process of an earlier
-// term can do any more; a new coordinator gives an engine none until the last order of another to it is a lease length old;
-// an order names the engine's start and its count of orders, so that one carried out late changes nothing; engines to which package placement
-// permits nothing are given none.
+// Guarantees: an order is sent only within a short time after it was recorded in the store, which a process of an earlier term can no
+// longer do; a new coordinator sends an engine no order until the last one of another process is a lease length old; an order carries the
+// engine's start and order count, so that a late one has no effect; engines not permitted by package placement receive none.
 package weightorder
 
 import (
@@ -29,14 +27,14 @@
 	"github.com/covelink/covelink/internal/placement"
 )
 
-// Mode is what becomes of the runs at an engine that loads.
+// Mode determines what happens to running requests at an engine that loads.
 type Mode int
 
-// The modes.
+// Mode values.
 const (
-	// ModeRetain lets runs go on under the new version.
+	// ModeRetain continues runs under the new version.
 	ModeRetain Mode = iota
-	// ModeWait loads once runs have ended.
+	// ModeWait loads after the current runs have ended.
 	ModeWait
 )
 
@@ -45,155 +43,155 @@
 	Model   string
 	Version int64
 	Mode    Mode
-	// Holder and Token name the coordinating process and its term.
+	// Holder and Token identify the coordinator and its term.
 	Holder string
 	Token  int64
-	// Sequence is the count of orders that the engine has taken.
+	// Sequence is the number of orders that the engine has accepted.
 	Sequence int64
-	// LeaveBy is the moment of boottime after which the order must not leave any more.
+	// LeaveBy is the time of boottime after which the order must not be sent.
 	LeaveBy time.Time
 }
 
-// Report is what an engine tells of itself.
+// Report is an engine's state as the engine reports it.
 type Report struct {
 	Sequence int64
-	// Busy is true while an order is carried out.
+	// Busy is true while an order is being carried out.
 	Busy     bool
 	Versions map[string]int64
 }
 
-// ErrRefused reports an order that the engine did not take.
-var ErrRefused = errors.New("weightorder: refused")
+// ErrRefused reports an order that the engine rejected.
+var ErrRefused = errors.New("weightorder: order refused by engine")
 
-// Demand is the work that there is for a model.
+// Demand is the work for a model.
 type Demand struct {
-	// Waiting counts the items that wait for an engine, and MinVersion is the newest version that one of them demands.
+	// Waiting counts the items that wait for an engine, and MinVersion is the newest version that any of them requires.
 	Waiting    int
 	MinVersion int64
-	// Items is a moving sum of the items that were submitted.
+	// Items is a moving sum of submitted items.
 	Items float64
-	// Open counts the items of jobs that have not ended.
+	// Open counts the items of unfinished jobs.
 	Open int
 }
 
-// Engines calls engines.
+// Engines sends calls to engines.
 type Engines interface {
 	Report(ctx context.Context, engine *fleet.Engine) (Report, error)
 	Order(ctx context.Context, engine *fleet.Engine, order Order) error
 }
 
 const (
-	// journalName is that of the journal of orders.
+	// journalName is the name of the order journal.
 	journalName = "orders"
 	// callTimeout bounds a call to an engine.
 	callTimeout = 700 * time.Millisecond
-	// loadTime is the time after which a load is first asked for: engines tell their state as it was some time ago.
-	loadTime = 1010 * time.Millisecond
-	// loadPoll is the pause between two questions about a load.
-	loadPoll = 60 * time.Millisecond
-	// loadLimit is how long a load may take before the engine is left aside.
-	loadLimit = 4 * time.Second
-	// retryPause is how long an engine is left aside after a call that failed.
-	retryPause = 500 * time.Millisecond
-	// idlePause is the pause between two looks when nothing changes.
-	idlePause = 2 * time.Second
-	// deferredPause is that pause while engines are left to work that waits.
-	deferredPause = 200 * time.Millisecond
-	// restFactor is the least pause between two plans, relative to what the first took, up to maxRest.
-	restFactor = 8
-	maxRest    = 100 * time.Millisecond
-	// refusedPause is how long an engine is left aside that another process has ordered lately.
-	refusedPause = 250 * time.Millisecond
+	// firstPollDelay is the delay from an order to the first poll of a load: engines report their state with a lag.
+	firstPollDelay = 1010 * time.Millisecond
+	// loadPollInterval is the interval between polls of a load.
+	loadPollInterval = 60 * time.Millisecond
+	// loadTimeout bounds a load.
+	loadTimeout = 4 * time.Second
+	// retryDelay is how long an engine receives no orders after a failure.
+	retryDelay = 500 * time.Millisecond
+	// replanInterval is the longest interval between two plans.
+	replanInterval = 2 * time.Second
+	// waitingReplanInterval is that interval while items wait for an engine.
+	waitingReplanInterval = 200 * time.Millisecond
+	// replanDelayFactor is the least delay between two plans relative to the time that the first took, up to maxReplanDelay.
+	replanDelayFactor = 8
+	maxReplanDelay    = 100 * time.Millisecond
+	// conflictDelay is how long an engine that another process ordered recently receives no orders.
+	conflictDelay = 250 * time.Millisecond
 )
 
-// Params are what a Manager works with.
+// Params configures a Manager.
 type Params struct {
 	State   *fleet.State
 	Engines Engines
-	// Store keeps the journal of orders.
+	// Store holds the journal of orders.
 	Store  metastore.Client
 	Holder string
-	// LeaseLength is the least time between the orders of two coordinating processes.
+	// LeaseLength is the least time between the orders of two coordinators.
 	LeaseLength time.Duration
-	// Loaded is told that an engine holds a version.
+	// OnVersion is called with each version that an engine reports.
 	Loaded func(engineID, model string, version int64)
-	// Demands returns the work for each model; nil if it is not known.
+	// Demands returns the work for each model; may be nil.
 	Demands func() map[string]Demand
-	// Pause returns the expected pause between two events at an engine; nil if it is not known.
+	// EventInterval returns the expected interval between two events of an engine's stream; may be nil.
 	Pause func(engineID string) time.Duration
-	// Loading is told when an engine begins to load, and takes no new work, and when that is over; nil for nobody.
+	// OnLoading is called when an engine starts to load, during which it accepts no work, and when that ends; may be nil.
 	Loading func(engineID string, loading bool)
-	// Moved is told of the end of each move; nil for nobody.
+	// OnMoved is called at the end of each move; may be nil.
 	Moved  func(err error, took time.Duration)
 	Logger log.Logger
 }
 
-// Manager gives orders while it leads.
+// Manager sends orders while it leads.
 type Manager struct {
 	Params
 	mu      sync.Mutex
-	named   map[string]int64
+	targets map[string]int64
 	changed chan struct{}
-	// held are versions that engines have told, by engine and model.
-	held map[string]map[string]int64
-	// loading are the engines that are being moved.
+	// reported holds the versions that engines reported, by engine and model.
+	reported map[string]map[string]int64
+	// loading holds the engines with a move in progress.
 	loading map[string]struct{}
-	// asideTil are the engines that are left alone for a while.
-	asideTil map[string]time.Time
-	// mayOrder reports whether an engine may be ordered already; nil for every engine.
+	// backoffUntil holds the engines that receive no orders until a time.
+	backoffUntil map[string]time.Time
+	// mayOrder reports whether an engine may receive orders yet; nil for every engine.
 	mayOrder func(engine string, now time.Time) bool
-	// assigned is the model that an engine keeps up with, where a service divides its engines among its models.
+	// assigned maps engines to the model that they keep up to date, in services that divide their engines among models.
 	assigned map[string]string
-	// demand is the work for each model when the last plan was made.
+	// demand is the work for each model as of the last plan.
 	demand map[string]Demand
-	// largest is the most engines that each service has had.
-	largest map[string]int
-	// replicas are the engines that keep up with a model, by service, where the service has many more than it needs.
-	replicas map[string]replicas
-	// window bounds the loads at once by how long they take.
+	// maxEngines is the highest number of engines that each service has had.
+	maxEngines map[string]int
+	// replicas holds the replica sets of services that have many more engines than needed.
+	replicaSets map[string]replicaSets
+	// window bounds concurrent loads by their duration.
 	window *loadWindow
-	// open is the most items that each model has had open lately.
-	open map[string]decay.Value
+	// openItems is the decaying maximum of open items by model.
+	openItems map[string]decay.Value
 }
 
-// New returns a Manager that does nothing until Lead.
+// New returns a Manager that sends nothing until Lead.
 func New(params Params) *Manager {
 	return &Manager{
-		Params:   params,
-		changed:  make(chan struct{}, 1),
-		named:    make(map[string]int64),
-		held:     make(map[string]map[string]int64),
-		loading:  make(map[string]struct{}),
-		asideTil: make(map[string]time.Time),
-		assigned: make(map[string]string),
-		largest:  make(map[string]int),
-		open:     make(map[string]decay.Value),
-		replicas: make(map[string]replicas),
-		window:   newLoadWindow(),
+		Params:       params,
+		changed:      make(chan struct{}, 1),
+		targets:      make(map[string]int64),
+		reported:     make(map[string]map[string]int64),
+		loading:      make(map[string]struct{}),
+		backoffUntil: make(map[string]time.Time),
+		assigned:     make(map[string]string),
+		maxEngines:   make(map[string]int),
+		openItems:    make(map[string]decay.Value),
+		replicaSets:  make(map[string]replicaSets),
+		window:       newLoadWindow(),
 	}
 }
 
-// SetNamed takes in the newest named version of each model.
+// SetTargets sets the version of each model that engines are to load.
 func (m *Manager) SetNamed(named map[string]int64) {
 	m.mu.Lock()
 	for model, version := range named {
-		if version > m.named[model] {
+		if version > m.targets[model] {
 			level.Info(m.Logger).Log("msg", "weight version named", "model", model, "version", version)
 		}
 	}
-	m.named = maps.Clone(named)
+	m.targets = maps.Clone(named)
 	m.mu.Unlock()
-	m.poke()
+	m.wake()
 }
 
-func (m *Manager) poke() {
+func (m *Manager) wake() {
 	select {
 	case m.changed <- struct{}{}:
 	default:
 	}
 }
 
-// Lead gives orders until ctx ends.
+// Lead sends orders until ctx ends.
 func (m *Manager) Lead(ctx context.Context, term election.Term) {
 	orders := permits.New(permits.Params{
 		Store:       m.Store,
@@ -201,14 +199,14 @@
 		Holder:      m.Holder,
 		Token:       term.Token,
 		LeaseLength: m.LeaseLength,
-		// Orders of two processes are kept a lease length apart: engines that check no fence may judge them so.
+		// Orders of two processes are kept a lease length apart, for engines that do not check the fencing token.
 		Transit: m.LeaseLength,
 	})
 	orders.TakeOver(ctx)
 	m.mu.Lock()
 	m.mayOrder = orders.MayAct
 	clear(m.loading)
-	clear(m.asideTil)
+	clear(m.backoffUntil)
 	m.mu.Unlock()
 	var moving sync.WaitGroup
 	for ctx.Err() == nil {
@@ -217,9 +215,9 @@
 		if moves := m.plan(started); len(moves) > 0 {
 			moving.Go(func() { m.moveAll(ctx, term, orders, moves) })
 		}
-		// Moves that end together are one look.
-		pause.For(ctx, min(restFactor*time.Since(started), maxRest))
-		timer := time.NewTimer(m.idlePause())
+		// Batches moves that end at about the same time into one plan.
+		pause.For(ctx, min(replanDelayFactor*time.Since(started), maxReplanDelay))
+		timer := time.NewTimer(m.planInterval())
 		select {
 		case <-m.changed:
 		case <-changed:
@@ -231,19 +229,19 @@
 	moving.Wait()
 }
 
-// idlePause is the longest pause before the next plan.
-func (m *Manager) idlePause() time.Duration {
+// planInterval returns the longest time until the next plan.
+func (m *Manager) planInterval() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, demand := range m.demand {
 		if demand.Waiting > 0 {
-			return deferredPause
+			return waitingReplanInterval
 		}
 	}
-	return idlePause
+	return replanInterval
 }
 
-// moveAll records the orders to come and carries out the moves that are allowed now.
+// moveAll records the orders in the journal and carries out the permitted moves.
 func (m *Manager) moveAll(ctx context.Context, term election.Term, orders *permits.Journal, moves []move) {
 	ids := make([]string, 0, len(moves))
 	for _, next := range moves {
@@ -256,54 +254,54 @@
 			moving.Go(func() { m.move(ctx, term, next, deadline) })
 			continue
 		}
-		m.postpone(next, err)
+		m.backOff(next, err)
 	}
 	moving.Wait()
 }
 
-// postpone leaves an engine aside that may not be ordered now.
-func (m *Manager) postpone(target move, err error) {
-	aside := refusedPause
+// backOff delays further orders to an engine that must not receive one now.
+func (m *Manager) backOff(target move, err error) {
+	delay := conflictDelay
 	if err != nil {
-		aside = retryPause
+		delay = retryDelay
 	}
 	level.Info(m.Logger).Log("msg", "order postponed", "engine", target.engine.ID, "model", target.model, "version", target.version, "err", err)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.loading, target.engine.ID)
-	m.asideTil[target.engine.ID] = time.Now().Add(aside)
-	time.AfterFunc(aside, m.poke)
+	m.backoffUntil[target.engine.ID] = time.Now().Add(delay)
+	time.AfterFunc(delay, m.wake)
 }
 
-// move brings an engine to a version, by an order before the deadline, and waits until it is seen there.
+// move brings an engine to a version, with an order sent before the deadline, and waits until the engine reports it.
 func (m *Manager) move(ctx context.Context, term election.Term, target move, deadline time.Time) {
 	started := time.Now()
 	err := m.load(ctx, term, target, deadline)
 	if m.Moved != nil {
 		m.Moved(err, time.Since(started))
 	}
-	level.Info(m.Logger).Log("msg", "engine moved", "engine", target.engine.ID, "model", target.model, "version", target.version,
+	level.Info(m.Logger).Log("msg", "weight load finished", "engine", target.engine.ID, "model", target.model, "version", target.version,
 		"token", term.Token, "took", time.Since(started).Round(time.Millisecond), "err", err)
 	m.mu.Lock()
 	delete(m.loading, target.engine.ID)
 	if err != nil {
-		m.asideTil[target.engine.ID] = time.Now().Add(retryPause)
+		m.backoffUntil[target.engine.ID] = time.Now().Add(retryDelay)
 	}
 	m.mu.Unlock()
 	if err != nil {
-		pause.For(ctx, retryPause)
+		pause.For(ctx, retryDelay)
 	}
-	m.poke()
+	m.wake()
 }
 
-// errNotPermitted reports an engine to which the placement filter forbids orders since its move was planned.
-var errNotPermitted = errors.New("weightorder: engine not permitted")
+// errNotPermitted reports an engine that is no longer permitted by the placement filter.
+var errNotPermitted = errors.New("weightorder: placement does not permit engine")
 
-// errNotLoaded reports a load that was not seen done.
-var errNotLoaded = errors.New("weightorder: load not seen done")
+// errNotLoaded reports a load whose completion was not observed.
+var errNotLoaded = errors.New("weightorder: engine did not report the loaded version")
 
 func (m *Manager) load(ctx context.Context, term election.Term, target move, orderDeadline time.Time) error {
-	report, err := m.report(ctx, target)
+	report, err := m.fetchReport(ctx, target)
 	if err != nil {
 		return err
 	}
@@ -314,14 +312,14 @@
 		return fmt.Errorf("%w: %s", errNotPermitted, reason)
 	}
 	if !report.Busy {
-		if err := m.order(ctx, term, target, report, orderDeadline); err != nil {
+		if err := m.sendOrder(ctx, term, target, report, orderDeadline); err != nil {
 			return err
 		}
 	}
 	return m.awaitLoad(ctx, target, report.Busy)
 }
 
-// awaitLoad waits until a version is seen at an engine that loads. joined is true if it had begun before.
+// awaitLoad waits until a loading engine reports the version. joined is true if the load had started before this move.
 func (m *Manager) awaitLoad(ctx context.Context, target move, joined bool) (err error) {
 	if m.Loading != nil {
 		m.Loading(target.engine.ID, true)
@@ -334,27 +332,27 @@
 		}
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		m.window.ended(time.Now(), time.Since(ordered), err == nil)
+		m.window.observe(time.Now(), time.Since(ordered), err == nil)
 	}()
 	if !joined {
-		pause.For(ctx, loadTime)
+		pause.For(ctx, firstPollDelay)
 	}
-	deadline := time.Now().Add(loadLimit)
+	deadline := time.Now().Add(loadTimeout)
 	for ctx.Err() == nil && time.Now().Before(deadline) {
-		report, err := m.report(ctx, target)
+		report, err := m.fetchReport(ctx, target)
 		if err == nil && report.Versions[target.model] >= target.version {
 			return nil
 		}
 		if err == nil && !report.Busy {
 			return errNotLoaded
 		}
-		pause.For(ctx, loadPoll)
+		pause.For(ctx, loadPollInterval)
 	}
 	return errNotLoaded
 }
 
-// report asks an engine for its state and takes in the versions it tells.
-func (m *Manager) report(ctx context.Context, target move) (Report, error) {
+// fetchReport requests an engine's state and records the reported versions.
+func (m *Manager) fetchReport(ctx context.Context, target move) (Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	report, err := m.Engines.Report(ctx, target.engine)
@@ -362,7 +360,7 @@
 		return Report{}, err
 	}
 	m.mu.Lock()
-	m.held[target.engine.ID] = report.Versions
+	m.reported[target.engine.ID] = report.Versions
 	m.mu.Unlock()
 	for model, version := range report.Versions {
 		m.Loaded(target.engine.ID, model, version)
@@ -370,8 +368,8 @@
 	return report, nil
 }
 
-// order gives one order before the deadline of its permit.
-func (m *Manager) order(ctx context.Context, term election.Term, target move, report Report, deadline time.Time) error {
+// sendOrder sends one order before the deadline of its permit.
+func (m *Manager) sendOrder(ctx context.Context, term election.Term, target move, report Report, deadline time.Time) error {
 	ctx, cancel := context.WithTimeout(ctx, boottime.Until(deadline))
 	defer cancel()
 	return m.Engines.Order(ctx, target.engine, Order{
@@ -385,7 +383,7 @@
 	})
 }
 
-// mode lets runs go on under the new version unless a route demands texts of one version.
+// mode returns ModeWait if a route requires texts of a single version from the model, and ModeRetain otherwise.
 func (m *Manager) mode(model string) Mode {
 	routes := m.State.View().Routes
 	for _, route := range routes.Routes() {
--- a/internal/weightorder/manager_test.go
+++ b/internal/weightorder/manager_test.go
@@ -29,26 +29,26 @@
 	loadTime    = 900 * time.Millisecond
 )
 
-// given is one order that reached an engine.
-type given struct {
+// sentOrder is an order that reached an engine.
+type sentOrder struct {
 	engine string
 	order  weightorder.Order
 	at     time.Time
 }
 
-// engines carry orders out after loadTime, as the platform's do.
-type engines struct {
-	mu       sync.Mutex
-	versions map[string]int64
-	sequence map[string]int64
-	loading  map[string]bool
-	most     int
-	orders   []given
-	// answerLost makes an order be carried out without an answer, while it is positive.
-	answerLost int
+// fakeEngines complete accepted orders after loadTime.
+type fakeEngines struct {
+	mu         sync.Mutex
+	versions   map[string]int64
+	sequence   map[string]int64
+	loading    map[string]bool
+	maxLoading int
+	orders     []sentOrder
+	// lostReplies is the number of further orders that are carried out without a reply.
+	lostReplies int
 }
 
-func (e *engines) Report(_ context.Context, engine *fleet.Engine) (weightorder.Report, error) {
+func (e *fakeEngines) Report(_ context.Context, engine *fleet.Engine) (weightorder.Report, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return weightorder.Report{
@@ -58,12 +58,12 @@
 	}, nil
 }
 
-var errNoAnswer = errors.New("no answer")
+var errReplyLost = errors.New("reply lost")
 
-func (e *engines) Order(_ context.Context, engine *fleet.Engine, order weightorder.Order) error {
+func (e *fakeEngines) Order(_ context.Context, engine *fleet.Engine, order weightorder.Order) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.orders = append(e.orders, given{engine: engine.ID, order: order, at: time.Now()})
+	e.orders = append(e.orders, sentOrder{engine: engine.ID, order: order, at: time.Now()})
 	if order.Sequence != e.sequence[engine.ID] {
 		return weightorder.ErrRefused
 	}
@@ -75,27 +75,27 @@
 			busy++
 		}
 	}
-	e.most = max(e.most, busy)
+	e.maxLoading = max(e.maxLoading, busy)
 	time.AfterFunc(loadTime, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		e.loading[engine.ID] = false
 		e.versions[engine.ID] = order.Version
 	})
-	if e.answerLost > 0 {
-		e.answerLost--
-		return errNoAnswer
+	if e.lostReplies > 0 {
+		e.lostReplies--
+		return errReplyLost
 	}
 	return nil
 }
 
-func (e *engines) given() []given {
+func (e *fakeEngines) sentOrders() []sentOrder {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return append([]given(nil), e.orders...)
+	return append([]sentOrder(nil), e.orders...)
 }
 
-func (e *engines) version(id string) int64 {
+func (e *fakeEngines) version(id string) int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.versions[id]
@@ -105,22 +105,22 @@
 
 func engineID(i int) string { return fmt.Sprintf("engine-%d", i) }
 
-// world is a manager with its lease in a store.
-type world struct {
-	engines *engines
+// fixture is a manager with its lease in a store.
+type fixture struct {
+	engines *fakeEngines
 	manager *weightorder.Manager
 	client  *metastoretest.Client
-	// deaf makes calls to the store stay without answer.
-	deaf atomic.Bool
+	// storeSilent makes store calls hang.
+	storeSilent atomic.Bool
 }
 
-func newWorld(singleVersion bool) *world {
-	w := &world{
-		engines: &engines{versions: make(map[string]int64), sequence: make(map[string]int64), loading: make(map[string]bool)},
+func newFixture(singleVersion bool) *fixture {
+	f := &fixture{
+		engines: &fakeEngines{versions: make(map[string]int64), sequence: make(map[string]int64), loading: make(map[string]bool)},
 		client:  metastoretest.New().Client(),
 	}
-	w.client.Fault = func(operation, _ string, _ bool) metastoretest.Fault {
-		if w.deaf.Load() {
+	f.client.Fault = func(operation, _ string, _ bool) metastoretest.Fault {
+		if f.storeSilent.Load() {
 			return metastoretest.Silent
 		}
 		return metastoretest.None
@@ -130,27 +130,27 @@
 	state.SetRoutes(routing.NewTable(1, []routing.Route{route}, []routing.Service{{Name: "pool", Models: []string{model}}}, routing.Limits{}))
 	var listed []*fleet.Engine
 	for i := range engineCount {
-		w.engines.versions[engineID(i)] = 1
+		f.engines.versions[engineID(i)] = 1
 		listed = append(listed, &fleet.Engine{ID: engineID(i), Service: "pool", Ready: true, Versions: map[string]int64{model: 1}})
 	}
 	state.SetEngineList(listed)
-	w.manager = weightorder.New(weightorder.Params{
+	f.manager = weightorder.New(weightorder.Params{
 		State:       state,
-		Engines:     w.engines,
-		Store:       w.client,
+		Engines:     f.engines,
+		Store:       f.client,
 		Holder:      "node-1",
 		LeaseLength: leaseLength,
 		Loaded:      func(string, string, int64) {},
 		Logger:      log.NewNopLogger(),
 	})
-	return w
+	return f
 }
 
-// orderedBefore is how many engines the process before has ordered.
-const orderedBefore = 3
+// previouslyOrdered is the number of engines that the previous coordinator ordered.
+const previouslyOrdered = 3
 
-// recordOrders writes the journal as another process has left it, with orders to the first engines just given.
-func (w *world) recordOrders(holder string, count int) {
+// recordOrders writes the journal of another process with orders just sent to the first engines.
+func (f *fixture) recordOrders(holder string, count int) {
 	records := make(map[string]any, count)
 	for i := range count {
 		records[engineID(i)] = map[string]any{"holder": holder, "ageMillis": 0}
@@ -160,32 +160,32 @@
 		panic(err)
 	}
 	object := metastore.Object{Name: "orders", Spec: spec}
-	if _, err := w.client.Create(context.Background(), permits.KindJournals, object); err != nil {
+	if _, err := f.client.Create(context.Background(), permits.KindJournals, object); err != nil {
 		panic(err)
 	}
 }
 
-// hold leads, after another process, if it is named, has given orders to the first engines, until the function that it returns
-// is called.
-func (w *world) hold(previous string) func() {
+// lead runs the manager as leader until the returned function is called. If previous is set, that process has just sent orders to the first
+// engines.
+func (f *fixture) lead(previous string) func() {
 	ctx, cancel := context.WithCancel(context.Background())
 	if previous != "" {
-		w.recordOrders(previous, orderedBefore)
+		f.recordOrders(previous, previouslyOrdered)
 		spec, err := json.Marshal(election.Lease{Token: 6})
 		if err != nil {
 			panic(err)
 		}
-		if _, err := w.client.Create(ctx, election.KindLeases, metastore.Object{Name: "coordinator", Spec: spec}); err != nil {
+		if _, err := f.client.Create(ctx, election.KindLeases, metastore.Object{Name: "coordinator", Spec: spec}); err != nil {
 			panic(err)
 		}
 	}
 	elector := election.New(election.Params{
 		Name:      "node-1",
 		Address:   "node-1",
-		Store:     w.client,
-		Followers: metastore.NewFollowers(w.client),
+		Store:     f.client,
+		Followers: metastore.NewFollowers(f.client),
 		Ping:      func(context.Context, string, string) (time.Duration, error) { return 0, nil },
-		Lead:      w.manager.Lead,
+		Lead:      f.manager.Lead,
 		Logger:    log.NewNopLogger(),
 	})
 	done := make(chan struct{})
@@ -199,69 +199,69 @@
 	}
 }
 
-func play(t *testing.T, name, previous string, singleVersion bool, scene func(w *world)) {
+func runTest(t *testing.T, name, previous string, singleVersion bool, run func(f *fixture)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(singleVersion)
-		stop := w.hold(previous)
+		f := newFixture(singleVersion)
+		stop := f.lead(previous)
 		defer stop()
 		time.Sleep(time.Second)
-		Convey(name, t, func() { scene(w) })
+		Convey(name, t, func() { run(f) })
 	})
 }
 
 func TestOrders(t *testing.T) {
-	play(t, "Every engine is moved to the named version once, two at a time, runs going on", "", false, func(w *world) {
-		w.manager.SetNamed(map[string]int64{model: 2})
+	runTest(t, "Every engine loads the target version once, two at a time, with runs continuing", "", false, func(f *fixture) {
+		f.manager.SetNamed(map[string]int64{model: 2})
 		time.Sleep(6 * time.Second)
-		So(len(w.engines.given()), ShouldEqual, engineCount)
-		So(w.engines.most, ShouldEqual, 2)
+		So(len(f.engines.sentOrders()), ShouldEqual, engineCount)
+		So(f.engines.maxLoading, ShouldEqual, 2)
 		for i := range engineCount {
-			So(w.engines.version(engineID(i)), ShouldEqual, 2)
+			So(f.engines.version(engineID(i)), ShouldEqual, 2)
 		}
-		for _, g := range w.engines.given() {
+		for _, g := range f.engines.sentOrders() {
 			So(g.order.Mode, ShouldEqual, weightorder.ModeRetain)
 			So(g.order.Token, ShouldEqual, 1)
 			So(g.order.Holder, ShouldEqual, "node-1")
 		}
-		Convey("and a version that is named twice is ordered once", func() {
-			w.manager.SetNamed(map[string]int64{model: 2})
+		Convey("and setting the same target again sends no orders", func() {
+			f.manager.SetNamed(map[string]int64{model: 2})
 			time.Sleep(10 * time.Second)
-			So(len(w.engines.given()), ShouldEqual, engineCount)
+			So(len(f.engines.sentOrders()), ShouldEqual, engineCount)
 		})
 	})
-	play(t, "Runs end first where a route demands texts of one version", "", true, func(w *world) {
-		w.manager.SetNamed(map[string]int64{model: 2})
+	runTest(t, "Engines wait for runs to end if a route requires texts of a single version", "", true, func(f *fixture) {
+		f.manager.SetNamed(map[string]int64{model: 2})
 		time.Sleep(6 * time.Second)
-		for _, g := range w.engines.given() {
+		for _, g := range f.engines.sentOrders() {
 			So(g.order.Mode, ShouldEqual, weightorder.ModeWait)
 		}
 	})
-	play(t, "An order that is carried out without an answer is not given twice", "", false, func(w *world) {
-		w.engines.answerLost = 2
-		w.manager.SetNamed(map[string]int64{model: 2})
+	runTest(t, "An order whose reply is lost is not sent again once it is carried out", "", false, func(f *fixture) {
+		f.engines.lostReplies = 2
+		f.manager.SetNamed(map[string]int64{model: 2})
 		time.Sleep(10 * time.Second)
-		So(len(w.engines.given()), ShouldEqual, engineCount)
+		So(len(f.engines.sentOrders()), ShouldEqual, engineCount)
 	})
-	play(t, "An engine that another process has ordered gets no order until a lease length has passed, others get theirs at once", "node-2", false, func(w *world) {
-		w.manager.SetNamed(map[string]int64{model: 2})
+	runTest(t, "An engine ordered by another process receives no order for a lease length; others receive theirs at once", "node-2", false, func(f *fixture) {
+		f.manager.SetNamed(map[string]int64{model: 2})
 		time.Sleep(leaseLength - time.Second)
-		for _, g := range w.engines.given() {
-			So(g.engine, ShouldBeGreaterThanOrEqualTo, engineID(orderedBefore))
+		for _, g := range f.engines.sentOrders() {
+			So(g.engine, ShouldBeGreaterThanOrEqualTo, engineID(previouslyOrdered))
 		}
-		So(len(w.engines.given()), ShouldEqual, engineCount-orderedBefore)
+		So(len(f.engines.sentOrders()), ShouldEqual, engineCount-previouslyOrdered)
 		time.Sleep(8 * time.Second)
-		So(len(w.engines.given()), ShouldEqual, engineCount)
+		So(len(f.engines.sentOrders()), ShouldEqual, engineCount)
 	})
-	play(t, "A process that was started again on the same machine need not wait", "node-1", false, func(w *world) {
-		w.manager.SetNamed(map[string]int64{model: 2})
+	runTest(t, "A process restarted under the same name does not wait", "node-1", false, func(f *fixture) {
+		f.manager.SetNamed(map[string]int64{model: 2})
 		time.Sleep(leaseLength - 100*time.Millisecond)
-		So(len(w.engines.given()), ShouldEqual, engineCount)
+		So(len(f.engines.sentOrders()), ShouldEqual, engineCount)
 	})
-	play(t, "Without an answer of the store no order is given", "", false, func(w *world) {
-		w.deaf.Store(true)
-		w.manager.SetNamed(map[string]int64{model: 2})
+	runTest(t, "No order is sent while the store does not answer", "", false, func(f *fixture) {
+		f.storeSilent.Store(true)
+		f.manager.SetNamed(map[string]int64{model: 2})
 		time.Sleep(10 * time.Second)
-		So(w.engines.given(), ShouldBeEmpty)
+		So(f.engines.sentOrders(), ShouldBeEmpty)
 	})
 }
--- a/internal/weightorder/plan.go
+++ b/internal/weightorder/plan.go
@@ -12,25 +12,25 @@
 )
 
 const (
-	// minLoading is the least number of a service's engines that may load at once.
-	minLoading = 2
-	// enginesPerLoad is how many engines a service has for each one that may load: more loads at once slow each other down.
-	enginesPerLoad = 5
-	// minEnginesPerModel is how many engines a service must have for each model, on average, before they are divided among the
-	// models; with fewer, every engine loads every model.
+	// minConcurrentLoads is the least number of a service's engines that may load at once.
+	minConcurrentLoads = 2
+	// enginesPerConcurrentLoad is the number of engines per concurrent load: more loads at once slow each other down.
+	enginesPerConcurrentLoad = 5
+	// minEnginesPerModel is the average number of engines per model from which on engines are divided among the models. With fewer, every
+	// engine loads every model.
 	minEnginesPerModel = 2
-	// evenItems is added to the items of each model, so that the shares are even until there is work.
-	evenItems = 8
+	// baseItems is added to the items of each model, so that shares are even without work.
+	baseItems = 8
 )
 
-// move is one engine that is to load a version.
+// move is the load of a version by an engine.
 type move struct {
 	engine  *fleet.Engine
 	model   string
 	version int64
 }
 
-// plan chooses the engines that load next, the most outdated first, and marks them.
+// plan selects the engines that load next, the most outdated first, and marks them as loading.
 func (m *Manager) plan(now time.Time) []move {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -38,10 +38,10 @@
 	if view.Routes == nil {
 		return nil
 	}
-	m.forget(view)
+	m.dropUnlisted(view)
 	if m.Demands != nil {
 		m.demand = m.Demands()
-		m.noteOpen(now)
+		m.updateOpenItems(now)
 	}
 	var chosen []move
 	for _, name := range slices.Sorted(maps.Keys(view.Routes.Services)) {
@@ -51,7 +51,8 @@
 	return chosen
 }
 
-// countLoading counts the engines of a service that load. Those of evacuated zones count too: all loads share the window. The mutex must be held.
+// countLoading counts the loading engines of a service, including those in evacuated zones, since all loads share the window. The mutex
+// must be held.
 func (m *Manager) countLoading(view *fleet.View, service string) int {
 	loading := 0
 	for id := range m.loading {
@@ -62,27 +63,27 @@
 	return loading
 }
 
-// planService chooses among the permitted engines of a service. The mutex must be held.
+// planService selects among the permitted engines of a service. The mutex must be held.
 func (m *Manager) planService(view *fleet.View, permitted []*fleet.Engine, service routing.Service, now time.Time) []move {
 	if len(permitted) == 0 || len(service.Models) == 0 {
 		return nil
 	}
-	engines, few := m.keepReplicas(view, service.Name, permitted, service.Models, now)
-	var spare map[string]struct{}
-	if !few {
+	engines, selected := m.selectReplicas(view, service.Name, permitted, service.Models, now)
+	var surplus map[string]struct{}
+	if !selected {
 		engines = permitted
 		m.assign(engines, service.Models)
-		spare = m.spare(engines, service.Models, now)
+		surplus = m.surplus(engines, service.Models, now)
 	}
 	var candidates []move
 	for _, engine := range engines {
 		if _, busy := m.loading[engine.ID]; busy {
 			continue
 		}
-		if _, unused := spare[engine.ID]; unused {
+		if _, skip := surplus[engine.ID]; skip {
 			continue
 		}
-		if m.asideTil[engine.ID].After(now) || (m.mayOrder != nil && !m.mayOrder(engine.ID, now)) {
+		if m.backoffUntil[engine.ID].After(now) || (m.mayOrder != nil && !m.mayOrder(engine.ID, now)) {
 			continue
 		}
 		if next, ok := m.outdated(engine, service.Models); ok {
@@ -90,25 +91,24 @@
 		}
 	}
 	slices.SortStableFunc(candidates, m.byUrgency)
-	room := max(m.maxLoading(service.Name, len(permitted))-m.countLoading(view, service.Name), 0)
-	chosen := candidates[:min(room, len(candidates))]
+	available := max(m.maxConcurrentLoads(service.Name, len(permitted))-m.countLoading(view, service.Name), 0)
+	chosen := candidates[:min(available, len(candidates))]
 	for _, next := range chosen {
 		m.loading[next.engine.ID] = struct{}{}
 	}
 	return chosen
 }
 
-// maxLoading is how many engines of a service may load at once. It follows the most engines that the service has had: what
-// the loads share does not shrink with the engines. The mutex must be held.
-func (m *Manager) maxLoading(service string, engines int) int {
-	m.largest[service] = max(m.largest[service], engines)
-	return min(max(minLoading, (m.largest[service]+enginesPerLoad/2)/enginesPerLoad), m.window.size())
+// maxConcurrentLoads returns how many engines of a service may load at once. It is based on the most engines that the service has had, as
+// the bandwidth that loads share does not shrink when engines leave. The mutex must be held.
+func (m *Manager) maxConcurrentLoads(service string, engines int) int {
+	m.maxEngines[service] = max(m.maxEngines[service], engines)
+	return min(max(minConcurrentLoads, (m.maxEngines[service]+enginesPerConcurrentLoad/2)/enginesPerConcurrentLoad), m.window.size())
 }
 
-// byUrgency orders moves: engines that cannot take what waits come first, then the most outdated, then the quickest, which long texts
-// need.
+// byUrgency orders moves: engines too old for waiting items first, then the most outdated, then the fastest.
 func (m *Manager) byUrgency(a, b move) int {
-	if x, y := m.unusable(a), m.unusable(b); x != y {
+	if x, y := m.tooOldForWaiting(a), m.tooOldForWaiting(b); x != y {
 		if x {
 			return -1
 		}
@@ -123,14 +123,13 @@
 	return cmp.Compare(m.Pause(a.engine.ID), m.Pause(b.engine.ID))
 }
 
-// unusable reports whether work waits for a model that the engine's weights are too old for.
-func (m *Manager) unusable(target move) bool {
+// tooOldForWaiting reports whether items wait for the model and the engine's version is too old for one of them.
+func (m *Manager) tooOldForWaiting(target move) bool {
 	demand := m.demand[target.model]
 	return demand.Waiting > 0 && m.version(target.engine, target.model) < demand.MinVersion
 }
 
-// outdated returns the model of which an engine lags the most among those that it is to keep up with. An engine that can take
-// work that waits is left to it.
+// outdated returns the move for the model with the greatest lag among those that an engine keeps up to date.
 func (m *Manager) outdated(engine *fleet.Engine, models []string) (move, bool) {
 	if assigned, ok := m.assigned[engine.ID]; ok {
 		models = []string{assigned}
@@ -138,7 +137,7 @@
 	var worst move
 	var worstLag int64
 	for _, model := range models {
-		next := move{engine: engine, model: model, version: m.named[model]}
+		next := move{engine: engine, model: model, version: m.targets[model]}
 		if lag := m.lag(engine, model); lag > worstLag {
 			worst, worstLag = next, lag
 		}
@@ -146,21 +145,21 @@
 	return worst, worstLag > 0
 }
 
-// lag returns by how many versions an engine is behind the newest of a model; zero if it does not hold the model.
+// lag returns by how many versions an engine is behind the target of a model; zero if it does not hold the model.
 func (m *Manager) lag(engine *fleet.Engine, model string) int64 {
 	if _, ok := engine.Versions[model]; !ok {
 		return 0
 	}
-	return max(m.named[model]-m.version(engine, model), 0)
+	return max(m.targets[model]-m.version(engine, model), 0)
 }
 
 // version returns the newest version of a model that an engine is known to hold.
 func (m *Manager) version(engine *fleet.Engine, model string) int64 {
-	return max(engine.Versions[model], m.held[engine.ID][model])
+	return max(engine.Versions[model], m.reported[engine.ID][model])
 }
 
-// assign divides the engines of a service among its models: an engine that keeps up with one model loads a fraction of what it
-// would for all of them. An engine keeps its model while the shares allow it.
+// assign divides the engines of a service among its models, so that each engine loads one model only. An engine keeps its model while the
+// shares allow it.
 func (m *Manager) assign(engines []*fleet.Engine, models []string) {
 	if len(models) < 2 || len(engines) < minEnginesPerModel*len(models) {
 		for _, engine := range engines {
@@ -186,34 +185,34 @@
 	}
 }
 
-// shares returns how many engines each model gets: in proportion to the items that were submitted lately, one at least.
+// shares returns the number of engines for each model: in proportion to recently submitted items, at least one.
 func (m *Manager) shares(engines int, models []string) map[string]int {
 	weights := make(map[string]float64, len(models))
 	total := 0.0
 	for _, model := range models {
-		weights[model] = m.demand[model].Items + evenItems
+		weights[model] = m.demand[model].Items + baseItems
 		total += weights[model]
 	}
 	shares := make(map[string]int, len(models))
-	left := engines
+	remaining := engines
 	for _, model := range models {
 		shares[model] = max(1, int(float64(engines)*weights[model]/total))
-		left -= shares[model]
+		remaining -= shares[model]
 	}
-	// What rounding leaves goes to the models that have the least for their weight, and is taken from those that have the most.
+	// Rounding differences go to the models with the fewest engines per weight, or come from those with the most.
 	perWeight := func(a, b string) int {
 		return cmp.Compare(float64(shares[a])/weights[a], float64(shares[b])/weights[b])
 	}
-	for ; left > 0; left-- {
+	for ; remaining > 0; remaining-- {
 		shares[slices.MinFunc(models, perWeight)]++
 	}
-	for ; left < 0; left++ {
+	for ; remaining < 0; remaining++ {
 		shares[slices.MaxFunc(models, perWeight)]--
 	}
 	return shares
 }
 
-// leastServed returns the model that lacks the most engines; of several, the one of which the engine lags the least.
+// leastServed returns the model that is furthest below its share; among equals, the one with the least lag at the engine.
 func (m *Manager) leastServed(engine *fleet.Engine, models []string, shares, counts map[string]int) string {
 	return slices.MinFunc(models, func(a, b string) int {
 		if x, y := counts[a]-shares[a], counts[b]-shares[b]; x != y {
@@ -223,13 +222,13 @@
 	})
 }
 
-// forget drops what is known of engines that are not listed any more. The mutex must be held.
-func (m *Manager) forget(view *fleet.View) {
+// dropUnlisted drops the state of engines that are no longer listed. The mutex must be held.
+func (m *Manager) dropUnlisted(view *fleet.View) {
 	unlisted := func(id string) bool {
 		_, listed := view.Engines.Get(id)
 		return !listed
 	}
-	maps.DeleteFunc(m.held, func(id string, _ map[string]int64) bool { return unlisted(id) })
-	maps.DeleteFunc(m.asideTil, func(id string, _ time.Time) bool { return unlisted(id) })
+	maps.DeleteFunc(m.reported, func(id string, _ map[string]int64) bool { return unlisted(id) })
+	maps.DeleteFunc(m.backoffUntil, func(id string, _ time.Time) bool { return unlisted(id) })
 	maps.DeleteFunc(m.assigned, func(id, _ string) bool { return unlisted(id) })
 }
--- a/internal/weightorder/plan_test.go
+++ b/internal/weightorder/plan_test.go
@@ -12,17 +12,17 @@
 	"github.com/covelink/covelink/internal/routing"
 )
 
-// planned is a manager whose engines hold version 1 of every model.
-func planned(engines int, models ...string) (*Manager, *fleet.State) {
+// newPlanManager returns a manager whose engines hold version 1 of every model.
+func newPlanManager(engines int, models ...string) (*Manager, *fleet.State) {
 	state := fleet.NewState()
 	service := routing.Service{Name: "pool", Models: models}
 	state.SetRoutes(routing.NewTable(1, nil, []routing.Service{service}, routing.Limits{}))
-	list(state, 0, engines, models)
+	listEngines(state, 0, engines, models)
 	return New(Params{State: state, Logger: log.NewNopLogger()}), state
 }
 
-// list makes the engines from a number up to another the listed ones.
-func list(state *fleet.State, from, to int, models []string) {
+// listEngines lists the engines with numbers from (inclusive) to (exclusive).
+func listEngines(state *fleet.State, from, to int, models []string) {
 	var listed []*fleet.Engine
 	for i := from; i < to; i++ {
 		versions := make(map[string]int64, len(models))
@@ -34,13 +34,13 @@
 	state.SetEngineList(listed)
 }
 
-// loadAll carries all planned moves out, and returns how many engines have loaded each model.
+// loadAll completes all planned moves and returns how many engines loaded each model.
 func loadAll(m *Manager) map[string]int {
 	loaded := make(map[string]int)
 	for moves := m.plan(time.Now()); len(moves) > 0; moves = m.plan(time.Now()) {
 		for _, move := range moves {
 			loaded[move.model]++
-			m.held[move.engine.ID] = map[string]int64{move.model: move.version}
+			m.reported[move.engine.ID] = map[string]int64{move.model: move.version}
 			delete(m.loading, move.engine.ID)
 		}
 	}
@@ -49,17 +49,17 @@
 
 func TestPlan(t *testing.T) {
 	models := []string{"a", "b", "c"}
-	Convey("A fifth of a service's engines load at once, and two of a small one", t, func() {
-		large, _ := planned(35, "a")
+	Convey("A fifth of a service's engines load at once, but at least two", t, func() {
+		large, _ := newPlanManager(35, "a")
 		large.SetNamed(map[string]int64{"a": 2})
 		So(large.plan(time.Now()), ShouldHaveLength, 7)
 		So(large.plan(time.Now()), ShouldBeEmpty)
-		small, _ := planned(8, "a")
+		small, _ := newPlanManager(8, "a")
 		small.SetNamed(map[string]int64{"a": 2})
 		So(small.plan(time.Now()), ShouldHaveLength, 2)
 	})
-	Convey("Engines of several models are divided among them: each version is loaded once by a share", t, func() {
-		m, state := planned(35, models...)
+	Convey("Engines are divided among several models, so that each version is loaded by its share only", t, func() {
+		m, state := newPlanManager(35, models...)
 		m.SetNamed(map[string]int64{"a": 2, "b": 2, "c": 2})
 		So(loadAll(m), ShouldResemble, map[string]int{"a": 12, "b": 12, "c": 11})
 		before := map[string]string{}
@@ -70,8 +70,8 @@
 		So(loadAll(m), ShouldResemble, map[string]int{"a": 12, "b": 12, "c": 11})
 		So(m.assigned, ShouldResemble, before)
 
-		Convey("and the shares stay even when engines leave and others come", func() {
-			list(state, 8, 42, models)
+		Convey("and the shares stay even when engines are replaced", func() {
+			listEngines(state, 8, 42, models)
 			m.SetNamed(map[string]int64{"a": 4, "b": 4, "c": 4})
 			loaded := loadAll(m)
 			for _, model := range models {
@@ -80,52 +80,52 @@
 			So(m.assigned, ShouldHaveLength, 34)
 		})
 	})
-	Convey("Too few engines to divide keep up with every model", t, func() {
-		m, _ := planned(5, models...)
+	Convey("Too few engines to divide load every model", t, func() {
+		m, _ := newPlanManager(5, models...)
 		m.SetNamed(map[string]int64{"a": 2, "b": 2, "c": 2})
 		loaded := 0
 		for range 30 {
 			for _, move := range m.plan(time.Now()) {
 				loaded++
-				if m.held[move.engine.ID] == nil {
-					m.held[move.engine.ID] = make(map[string]int64)
+				if m.reported[move.engine.ID] == nil {
+					m.reported[move.engine.ID] = make(map[string]int64)
 				}
-				m.held[move.engine.ID][move.model] = move.version
+				m.reported[move.engine.ID][move.model] = move.version
 				delete(m.loading, move.engine.ID)
 			}
 		}
 		So(loaded, ShouldEqual, 15)
 	})
 	Convey("The most outdated engine loads first", t, func() {
-		m, _ := planned(10, "a")
+		m, _ := newPlanManager(10, "a")
 		m.SetNamed(map[string]int64{"a": 4})
 		for i := range 10 {
-			m.held[fmt.Sprintf("engine-%03d", i)] = map[string]int64{"a": 3}
+			m.reported[fmt.Sprintf("engine-%03d", i)] = map[string]int64{"a": 3}
 		}
-		m.held["engine-007"] = map[string]int64{"a": 2}
-		m.held["engine-009"] = map[string]int64{"a": 2}
+		m.reported["engine-007"] = map[string]int64{"a": 2}
+		m.reported["engine-009"] = map[string]int64{"a": 2}
 		moves := m.plan(time.Now())
 		So([]string{moves[0].engine.ID, moves[1].engine.ID}, ShouldResemble, []string{"engine-007", "engine-009"})
 	})
 }
 
 func TestPlanByDemand(t *testing.T) {
-	Convey("Shares follow the items that were submitted, and each model keeps one engine at least", t, func() {
-		m, _ := planned(30, "a", "b", "c")
+	Convey("Shares are proportional to submitted items, with at least one engine per model", t, func() {
+		m, _ := newPlanManager(30, "a", "b", "c")
 		m.Demands = func() map[string]Demand {
 			return map[string]Demand{"a": {Items: 300}, "b": {Items: 150}}
 		}
 		m.SetNamed(map[string]int64{"a": 2, "b": 2, "c": 2})
 		So(loadAll(m), ShouldResemble, map[string]int{"a": 19, "b": 10, "c": 1})
 	})
-	Convey("Engines that are too old for what waits load first, and the others beside the work that waits for them", t, func() {
-		m, _ := planned(10, "a")
+	Convey("Engines too old for waiting items load first, then the fastest, also while items wait for them", t, func() {
+		m, _ := newPlanManager(10, "a")
 		demand := map[string]Demand{"a": {Waiting: 5, MinVersion: 3}}
 		m.Demands = func() map[string]Demand { return demand }
 		for i := range 10 {
-			m.held[fmt.Sprintf("engine-%03d", i)] = map[string]int64{"a": 3}
+			m.reported[fmt.Sprintf("engine-%03d", i)] = map[string]int64{"a": 3}
 		}
-		m.held["engine-004"] = map[string]int64{"a": 2}
+		m.reported["engine-004"] = map[string]int64{"a": 2}
 		m.SetNamed(map[string]int64{"a": 4})
 		m.Pause = func(id string) time.Duration {
 			if id == "engine-007" {
@@ -137,17 +137,17 @@
 		So(moves, ShouldHaveLength, 2)
 		So(moves[0].engine.ID, ShouldEqual, "engine-004")
 		So(moves[1].engine.ID, ShouldEqual, "engine-007")
-		So(m.idlePause(), ShouldEqual, deferredPause)
+		So(m.planInterval(), ShouldEqual, waitingReplanInterval)
 		demand = nil
 		So(m.plan(time.Now()), ShouldBeEmpty)
-		So(m.idlePause(), ShouldEqual, idlePause)
+		So(m.planInterval(), ShouldEqual, replanInterval)
 	})
-	Convey("Engines that leave don't lower the number of loads at once", t, func() {
-		m, state := planned(35, "a")
+	Convey("Engines that leave do not lower the number of concurrent loads", t, func() {
+		m, state := newPlanManager(35, "a")
 		m.SetNamed(map[string]int64{"a": 2})
 		So(m.plan(time.Now()), ShouldHaveLength, 7)
 		clear(m.loading)
-		list(state, 0, 20, []string{"a"})
+		listEngines(state, 0, 20, []string{"a"})
 		So(m.plan(time.Now()), ShouldHaveLength, 7)
 	})
 }
--- a/internal/weightorder/replicas.go
+++ b/internal/weightorder/replicas.go
@@ -11,59 +11,59 @@
 )
 
 const (
-	// wholeFactor is how many times the engines that a service needs for its models it must have before only those are planned for. With fewer, all of
-	// them are divided among the models, as most are needed anyway.
-	wholeFactor = 2
-	// replicaReserve is by how much the engines that are chosen for a model exceed the need, so that a loss or a little more work chooses no new
-	// ones; only as many as are needed load. replicaExcess is from how much on some are let go.
-	replicaReserve = 1.25
-	replicaExcess  = 2.0
+	// replicaSetFactor is by how much a service's engines must exceed the need for replica sets to be used. With fewer, all engines are
+	// divided among the models.
+	replicaSetFactor = 2
+	// replicaHeadroom is the size of a replica set relative to the need, so that small changes select no new engines; only as many as
+	// needed load. A set that exceeds replicaShrinkFactor times the need is shrunk.
+	replicaHeadroom     = 1.25
+	replicaShrinkFactor = 2.0
 )
 
-// replicas are the engines of a service that keep up with each of its models. The same ones are kept over versions: they hold shared prompts and open
-// connections, and a plan looks at them and not at each engine of the service, which took 38 ms at 10,000 engines and eight models.
-type replicas struct {
-	// byModel holds their IDs.
+// replicas are the replica sets of a service. They are stable across versions, since the engines hold shared prompts and open connections,
+// and they keep the cost of a plan independent of the service's size.
+type replicaSets struct {
+	// byModel holds engine IDs.
 	byModel map[string][]string
 }
 
-// keepReplicas returns the engines of a service that are to keep up with its models, as many as are needed, and marks their models in assigned. ok is
-// false if the service has too few engines for it. The mutex must be held.
-func (m *Manager) keepReplicas(view *fleet.View, service string, engines []*fleet.Engine, models []string, now time.Time) (kept []*fleet.Engine, ok bool) {
+// selectReplicas returns the engines that are to keep the service's models up to date, and records their models in assigned. ok is false if
+// the service has too few engines for replica sets. The mutex must be held.
+func (m *Manager) selectReplicas(view *fleet.View, service string, engines []*fleet.Engine, models []string, now time.Time) (selected []*fleet.Engine, ok bool) {
 	needed := make(map[string]int, len(models))
 	total := 0
 	for _, model := range models {
-		needed[model] = m.needed(engines, model, now)
+		needed[model] = m.neededEngines(engines, model, now)
 		total += needed[model]
 	}
-	if m.Demands == nil || len(engines) <= wholeFactor*int(replicaReserve*float64(total)) {
-		delete(m.replicas, service)
+	if m.Demands == nil || len(engines) <= replicaSetFactor*int(replicaHeadroom*float64(total)) {
+		delete(m.replicaSets, service)
 		return nil, false
 	}
-	known, ok := m.replicas[service]
+	sets, ok := m.replicaSets[service]
 	if !ok {
-		known = replicas{byModel: make(map[string][]string, len(models))}
-		m.replicas[service] = known
+		sets = replicaSets{byModel: make(map[string][]string, len(models))}
+		m.replicaSets[service] = sets
 		for _, engine := range engines {
 			delete(m.assigned, engine.ID)
 		}
 	}
 	filter := placement.NewFilter(view, placement.Residency{})
 	for _, model := range models {
-		m.dropReplicas(known, view, filter, model)
-		m.resize(known, engines, model, needed[model])
-		ids := known.byModel[model]
+		m.dropReplicas(sets, view, filter, model)
+		m.resize(sets, engines, model, needed[model])
+		ids := sets.byModel[model]
 		for _, id := range ids[:min(needed[model], len(ids))] {
 			engine, _ := view.Engines.Get(id)
-			kept = append(kept, engine)
+			selected = append(selected, engine)
 		}
 	}
-	return kept, true
+	return selected, true
 }
 
-// dropReplicas lets go of a model's engines that are not listed or not permitted any more. The mutex must be held.
-func (m *Manager) dropReplicas(known replicas, view *fleet.View, filter placement.Filter, model string) {
-	known.byModel[model] = slices.DeleteFunc(known.byModel[model], func(id string) bool {
+// dropReplicas removes replicas that are no longer listed or permitted. The mutex must be held.
+func (m *Manager) dropReplicas(sets replicaSets, view *fleet.View, filter placement.Filter, model string) {
+	sets.byModel[model] = slices.DeleteFunc(sets.byModel[model], func(id string) bool {
 		engine, listed := view.Engines.Get(id)
 		if listed && m.assigned[id] == model && filter.Check(engine) == placement.Permitted {
 			return false
@@ -73,45 +73,45 @@
 	})
 }
 
-// resize brings the number of a model's replicas near the need. The mutex must be held.
-func (m *Manager) resize(known replicas, engines []*fleet.Engine, model string, needed int) {
-	ids := known.byModel[model]
-	wanted := int(replicaReserve * float64(needed))
+// resize adjusts the size of a model's replica set to the need. The mutex must be held.
+func (m *Manager) resize(sets replicaSets, engines []*fleet.Engine, model string, needed int) {
+	ids := sets.byModel[model]
+	target := int(replicaHeadroom * float64(needed))
 	switch {
 	case len(ids) < needed:
-		for _, engine := range m.chooseReplicas(engines, model, wanted-len(ids)) {
+		for _, engine := range m.chooseReplicas(engines, model, target-len(ids)) {
 			m.assigned[engine.ID] = model
 			ids = append(ids, engine.ID)
 		}
-	case float64(len(ids)) > replicaExcess*float64(needed):
-		for _, id := range ids[wanted:] {
+	case float64(len(ids)) > replicaShrinkFactor*float64(needed):
+		for _, id := range ids[target:] {
 			delete(m.assigned, id)
 		}
-		ids = ids[:wanted]
+		ids = ids[:target]
 	}
-	known.byModel[model] = ids
+	sets.byModel[model] = ids
 }
 
-// chooseReplicas returns engines that keep up with no model yet: those that lag the least behind this one, and of those in the order of a hash, which
-// spreads them over zones and is the same at each coordinating process. The mutex must be held.
+// chooseReplicas returns unassigned engines for a model: those with the least lag, then in hash order, which spreads them over zones and is
+// the same at every coordinator. The mutex must be held.
 func (m *Manager) chooseReplicas(engines []*fleet.Engine, model string, count int) []*fleet.Engine {
-	type free struct {
+	type candidate struct {
 		engine *fleet.Engine
 		lag    int64
 		order  uint64
 	}
 	key := rendezvous.Hash(model)
-	var candidates []free
+	var candidates []candidate
 	for _, engine := range engines {
-		if _, taken := m.assigned[engine.ID]; taken {
+		if _, assigned := m.assigned[engine.ID]; assigned {
 			continue
 		}
-		candidates = append(candidates, free{engine: engine, lag: m.lag(engine, model), order: rendezvous.Mix(key, rendezvous.Hash(engine.ID))})
+		candidates = append(candidates, candidate{engine: engine, lag: m.lag(engine, model), order: rendezvous.Mix(key, rendezvous.Hash(engine.ID))})
 	}
-	slices.SortFunc(candidates, func(a, b free) int { return cmp.Or(cmp.Compare(a.lag, b.lag), cmp.Compare(a.order, b.order)) })
+	slices.SortFunc(candidates, func(a, b candidate) int { return cmp.Or(cmp.Compare(a.lag, b.lag), cmp.Compare(a.order, b.order)) })
 	chosen := make([]*fleet.Engine, 0, count)
-	for _, candidate := range candidates[:min(count, len(candidates))] {
-		chosen = append(chosen, candidate.engine)
+	for _, next := range candidates[:min(count, len(candidates))] {
+		chosen = append(chosen, next.engine)
 	}
 	return chosen
 }
--- a/internal/weightorder/window.go
+++ b/internal/weightorder/window.go
@@ -6,55 +6,55 @@
 )
 
 const (
-	// firstWindow is how many loads may run at once before anything is known, and the least that may ever.
-	firstWindow = 8
-	// slowLoad is how much longer than the quickest load the loads may take on average before fewer run at once.
-	slowLoad = 1.5
-	// windowShrink is what the window is multiplied with when loads are slow, at most once in the time of the quickest load.
-	windowShrink = 0.6
-	// tookWeight is the share of the newest load in the moving average of their times.
-	tookWeight = 0.1
+	// minWindow is the initial and the least number of concurrent loads.
+	minWindow = 8
+	// slowLoadFactor is the average load duration, relative to the shortest, above which the window shrinks.
+	slowLoadFactor = 1.5
+	// windowShrinkFactor is applied to the window when loads are slow, at most once per average load duration.
+	windowShrinkFactor = 0.6
+	// averageWeight is the weight of the newest load in the moving average.
+	averageWeight = 0.1
 )
 
-// loadWindow finds out how many loads may run at once before they slow each other down: it grows by one with each load that was
-// quick, doubling in the time of a load, and shrinks when they get slow. From then on it grows by one in the time of a load.
+// loadWindow bounds concurrent loads like a congestion window: it grows by one per fast load until loads first become slow (slow start),
+// then by one per load duration, and shrinks whenever loads are slow.
 type loadWindow struct {
 	limit float64
-	// quickest is the least time of a load, and average a moving average.
-	quickest, average time.Duration
-	// probing is true until loads got slow for the first time.
-	probing bool
-	shrunk  time.Time
+	// shortest is the shortest observed load, and average a moving average.
+	shortest, average time.Duration
+	// slowStart is true until loads become slow for the first time.
+	slowStart  bool
+	lastShrink time.Time
 }
 
-func newLoadWindow() *loadWindow { return &loadWindow{limit: firstWindow, probing: true} }
+func newLoadWindow() *loadWindow { return &loadWindow{limit: minWindow, slowStart: true} }
 
-// size is the number of loads that may run at once.
+// size returns the number of loads that may run at once.
 func (w *loadWindow) size() int { return int(w.limit) }
 
-// ended takes in a load. done is false if it was not seen done in time.
-func (w *loadWindow) ended(now time.Time, took time.Duration, done bool) {
-	if done && (w.quickest == 0 || took < w.quickest) {
-		w.quickest = took
+// observe adjusts the window to a finished load. done is false if its completion was not observed in time.
+func (w *loadWindow) observe(now time.Time, duration time.Duration, done bool) {
+	if done && (w.shortest == 0 || duration < w.shortest) {
+		w.shortest = duration
 	}
 	if w.average == 0 {
-		w.average = took
+		w.average = duration
 	}
-	w.average += time.Duration(tookWeight * float64(took-w.average))
-	if float64(w.average) <= slowLoad*float64(w.quickest) {
+	w.average += time.Duration(averageWeight * float64(duration-w.average))
+	if float64(w.average) <= slowLoadFactor*float64(w.shortest) {
 		w.grow()
 		return
 	}
-	if now.Sub(w.shrunk) < w.average {
+	if now.Sub(w.lastShrink) < w.average {
 		return
 	}
-	w.probing = false
-	w.shrunk = now
-	w.limit = math.Max(firstWindow, w.limit*windowShrink)
+	w.slowStart = false
+	w.lastShrink = now
+	w.limit = math.Max(minWindow, w.limit*windowShrinkFactor)
 }
 
 func (w *loadWindow) grow() {
-	if w.probing {
+	if w.slowStart {
 		w.limit++
 		return
 	}
