--- a/internal/scheduler/breaker.go
+++ b/internal/scheduler/breaker.go
@@ -5,27 +5,25 @@
 // BreakerState is the state of a Breaker.
 type BreakerState int
 
-// The breaker states.
+// BreakerState values.
 const (
-	// BreakerClosed lets every request pass.
+	// BreakerClosed admits every request.
 	BreakerClosed BreakerState = iota
-	// BreakerOpen lets no request pass until its backoff is over.
+	// BreakerOpen admits no request until the backoff has passed.
 	BreakerOpen
-	// BreakerHalfOpen has let one probe pass and waits for its result.
+	// BreakerHalfOpen has admitted one probe and waits for its result.
 	BreakerHalfOpen
 )
 
-// The breaker's constants.
 const (
-	breakerThreshold  = 3
-	breakerBaseDelay  = 200 * time.Millisecond
-	breakerMaxDelay   = 15 * time.Second
-	breakerMaxDoubles = 10
+	breakerThreshold    = 3
+	breakerBaseDelay    = 200 * time.Millisecond
+	breakerMaxDelay     = 15 * time.Second
+	breakerMaxDoublings = 10
 )
 
-// Breaker keeps requests off an engine that fails. It opens after consecutive failures, stays open for a backoff that
-// grows with full jitter, then lets a single probe pass: its success closes the breaker, its failure opens it again.
-// The zero Breaker is closed. It is not safe for concurrent use.
+// Breaker keeps requests off a failing engine. It opens after consecutive failures for an exponential backoff with full jitter, then admits
+// a single probe, whose success closes it and whose failure opens it again. The zero Breaker is closed. It is not safe for concurrent use.
 type Breaker struct {
 	state    BreakerState
 	failures int
@@ -33,7 +31,7 @@
 	until    time.Time
 }
 
-// State returns the state at now; an open breaker whose backoff is over counts as half-open.
+// State returns the state at now; an open breaker whose backoff has passed counts as half-open.
 func (b *Breaker) State(now time.Time) BreakerState {
 	if b.state == BreakerOpen && !now.Before(b.until) {
 		return BreakerHalfOpen
@@ -53,27 +51,26 @@
 	}
 }
 
-// Start takes note that a request starts at now. It must be called only when Ready; after a backoff this is the probe.
+// Start records that a request starts at now, which is the probe after a backoff. It must be called only if Ready.
 func (b *Breaker) Start(now time.Time) {
 	if b.state == BreakerOpen && !now.Before(b.until) {
 		b.state = BreakerHalfOpen
 	}
 }
 
-// Succeed takes note that the engine answered.
+// Succeed records a response and closes the breaker.
 func (b *Breaker) Succeed() {
 	*b = Breaker{}
 }
 
-// Abandon takes note that a request ended without telling anything about the engine, for example by the caller's
-// cancel. A probe that is abandoned leaves room for the next one.
+// Abandon records a request that ended without a result, such as one canceled by its caller. An abandoned probe allows the next one.
 func (b *Breaker) Abandon() {
 	if b.state == BreakerHalfOpen {
 		b.state = BreakerOpen
 	}
 }
 
-// Fail takes note of a failure at now. random is uniform in [0, 1).
+// Fail records a failure at now. random is uniform in [0, 1).
 func (b *Breaker) Fail(now time.Time, random float64) {
 	b.failures++
 	if b.state == BreakerOpen {
@@ -84,13 +81,13 @@
 	}
 	b.state = BreakerOpen
 	b.until = now.Add(FullJitter(breakerBaseDelay, breakerMaxDelay, b.opens, random))
-	b.opens = min(b.opens+1, breakerMaxDoubles)
+	b.opens = min(b.opens+1, breakerMaxDoublings)
 }
 
-// FullJitter returns a delay uniform in [0, min(limit, base·2^attempt)), from a random number uniform in [0, 1).
+// FullJitter returns a delay uniform in [0, min(limit, base·2^attempt)), given random uniform in [0, 1).
 func FullJitter(base, limit time.Duration, attempt int, random float64) time.Duration {
 	ceiling := limit
-	if attempt < breakerMaxDoubles {
+	if attempt < breakerMaxDoublings {
 		ceiling = min(limit, base<<max(attempt, 0))
 	}
 	return time.Duration(random * float64(ceiling))
--- a/internal/scheduler/lane.go
+++ b/internal/scheduler/lane.go
@@ -6,14 +6,13 @@
 	"time"
 )
 
-// The constants of the drain-rate estimate and of the advice made from it.
 const (
-	// drainMemory is the share of the old measurement that a new one leaves.
-	drainMemory = 0.9
-	// drainMinimum is the number of starts from a waiting lane below which no estimate is made.
-	drainMinimum  = 8
-	minRetryAfter = 250 * time.Millisecond
-	maxRetryAfter = 30 * time.Second
+	// drainDecay is the weight that earlier measurements keep at each new one.
+	drainDecay = 0.9
+	// minDrainSamples is the number of starts below which no wait is estimated.
+	minDrainSamples = 8
+	minRetryAfter   = 250 * time.Millisecond
+	maxRetryAfter   = 30 * time.Second
 )
 
 // lane holds the waiting items of one class and pool.
@@ -25,7 +24,7 @@
 	drain   drainRate
 }
 
-// flow holds the waiting items of one caller. start is the virtual time at which its next item may start.
+// flow holds the waiting items of one caller. start is the virtual start time of its next item.
 type flow struct {
 	caller string
 	start  float64
@@ -49,8 +48,8 @@
 	l.tokens += int64(queued.item.cost())
 }
 
-// next returns the first item that try takes or drops, in the order of the flows' start times, and the verdict on it.
-// It returns Stop when there is none.
+// next offers items to try in the order of the flows' start times. It returns the first that try does not skip, with the verdict, or nil
+// and Stop.
 func (l *lane) next(scan uint64, try func(*Item) Verdict) (*entry, Verdict) {
 	for _, f := range l.backlogged() {
 		for _, queued := range f.items[:min(len(f.items), scanDepth)] {
@@ -67,7 +66,7 @@
 	return nil, Stop
 }
 
-// take removes an item that starts now and charges its flow, which pays once for an item however often it starts.
+// take removes an item that starts now and charges its flow; readmitted items were charged before.
 func (l *lane) take(now time.Time, queued *entry) {
 	f := queued.flow
 	l.virtual = max(l.virtual, f.start)
@@ -76,11 +75,11 @@
 		return
 	}
 	f.start += float64(queued.item.cost()) / queued.item.share()
-	l.drain.took(now, queued.item.cost())
+	l.drain.observe(now, queued.item.cost())
 }
 
-// forget takes note that an item has left the lane. A flow without items is dropped once its share is used up, so that
-// the flows kept are bounded by the recent callers.
+// forget accounts for an item that has left the lane. Empty flows are dropped once the virtual time has passed their start, which bounds
+// the flows by the recent callers.
 func (l *lane) forget(queued *entry) {
 	l.tokens -= int64(queued.item.cost())
 	for caller, f := range l.flows {
@@ -93,37 +92,37 @@
 	}
 }
 
-// backlogged returns the flows with waiting items, the earliest start first.
+// backlogged returns the flows with waiting items, by start time.
 func (l *lane) backlogged() []*flow {
-	waiting := make([]*flow, 0, len(l.flows))
+	flows := make([]*flow, 0, len(l.flows))
 	for _, f := range l.flows {
 		if len(f.items) > 0 {
-			waiting = append(waiting, f)
+			flows = append(flows, f)
 		}
 	}
-	slices.SortFunc(waiting, func(a, b *flow) int {
+	slices.SortFunc(flows, func(a, b *flow) int {
 		return cmp.Or(cmp.Compare(a.start, b.start), cmp.Compare(a.caller, b.caller))
 	})
-	return waiting
+	return flows
 }
 
 func (l *lane) estimate(now time.Time) time.Duration {
-	return l.drain.timeFor(now, l.tokens)
+	return l.drain.estimate(now, l.tokens)
 }
 
 func (f *flow) insert(queued *entry, interactive bool) {
-	at, _ := slices.BinarySearchFunc(f.items, queued, func(a, b *entry) int { return compareEntries(a, b, interactive) })
-	f.items = slices.Insert(f.items, at, queued)
+	index, _ := slices.BinarySearchFunc(f.items, queued, func(a, b *entry) int { return compareEntries(a, b, interactive) })
+	f.items = slices.Insert(f.items, index, queued)
 }
 
 func (f *flow) remove(queued *entry) {
-	at := slices.Index(f.items, queued)
-	if at >= 0 {
-		f.items = slices.Delete(f.items, at, at+1)
+	index := slices.Index(f.items, queued)
+	if index >= 0 {
+		f.items = slices.Delete(f.items, index, index+1)
 	}
 }
 
-// compareEntries orders a flow: rollouts by rank and then longest first, else by arrival.
+// compareEntries orders a flow: interactive items by arrival, rollouts by rank, then longest first.
 func compareEntries(a, b *entry, interactive bool) int {
 	if interactive {
 		return cmp.Or(cmp.Compare(readmission(a), readmission(b)), cmp.Compare(a.sequence, b.sequence))
@@ -135,7 +134,7 @@
 	)
 }
 
-// readmission puts what was admitted before in front of what was not.
+// readmission sorts readmitted items first.
 func readmission(queued *entry) int {
 	if queued.item.Readmitted {
 		return 0
@@ -143,7 +142,7 @@
 	return 1
 }
 
-// drainRate measures how fast a lane that has waiting items starts them.
+// drainRate measures the rate at which a backlogged lane starts items.
 type drainRate struct {
 	last   time.Time
 	busy   float64
@@ -153,22 +152,22 @@
 
 func (d *drainRate) begin(now time.Time) { d.last = now }
 
-func (d *drainRate) took(now time.Time, tokens int) {
-	d.busy = d.busy*drainMemory + now.Sub(d.last).Seconds()
-	d.tokens = d.tokens*drainMemory + float64(tokens)
+func (d *drainRate) observe(now time.Time, tokens int) {
+	d.busy = d.busy*drainDecay + now.Sub(d.last).Seconds()
+	d.tokens = d.tokens*drainDecay + float64(tokens)
 	d.last = now
-	d.starts = min(d.starts+1, drainMinimum)
+	d.starts = min(d.starts+1, minDrainSamples)
 }
 
-func (d *drainRate) timeFor(now time.Time, tokens int64) time.Duration {
-	if d.starts < drainMinimum || tokens == 0 {
+func (d *drainRate) estimate(now time.Time, tokens int64) time.Duration {
+	if d.starts < minDrainSamples || tokens == 0 {
 		return 0
 	}
 	perToken := d.busy / d.tokens
 	return time.Duration(min(perToken*float64(tokens), maxEstimateSeconds) * float64(time.Second))
 }
 
-// maxEstimateSeconds keeps an estimate within the range of a duration.
+// maxEstimateSeconds keeps estimates within the range of time.Duration.
 const maxEstimateSeconds = 24 * 60 * 60
 
 func clampRetryAfter(wait time.Duration) time.Duration {
--- a/internal/scheduler/placer.go
+++ b/internal/scheduler/placer.go
@@ -1,8 +1,8 @@
-// Package scheduler decides where a request runs and in which order requests wait. Everything here is pure: no
-// clock, no I/O, no goroutine; the present time and random numbers are arguments.
+// Package scheduler decides where a request runs and in which order requests wait. It is pure: without clock, I/O or goroutines; the
+// current time and random numbers are arguments.
 //
-// A placement passes through Filter, Score and Reserve over a Snapshot. Filters are hard rules and are counted, so that
-// a decision can be explained; scores only choose among the engines that every filter has let through.
+// A placement filters, scores and reserves over a Snapshot. Filters are hard rules and are counted to explain the decision; scores only
+// rank the engines that pass all filters.
 package scheduler
 
 import (
@@ -15,60 +15,60 @@
 	"github.com/covelink/covelink/coord/rendezvous"
 )
 
-// DefaultMaxConcurrent is the bound on an engine's requests in flight for a pool that states none.
+// DefaultMaxConcurrent is the bound on an engine's requests in flight for pools that configure none.
 const DefaultMaxConcurrent = 16
 
-// The parts of a score. An engine's score is their sum; the highest wins.
+// The weights of an engine's score. The highest score wins.
 const (
-	weightFreshness = 4.0
-	weightAffinity  = 2.0
-	weightOccupancy = 3.0
-	weightDistance  = 0.5
-	weightLast      = 8.0
-	// weightCrowding counts interactive requests in flight against the slots that are kept free for them: beyond those, one
-	// more waits for a rollout to end, which takes far longer than the way to another zone of the region.
+	weightFreshness  = 4.0
+	weightAffinity   = 2.0
+	weightOccupancy  = 3.0
+	weightDistance   = 0.5
+	weightLastFailed = 8.0
+	// weightCrowding applies to interactive requests in flight relative to the reserved slots: beyond those, a request waits for a rollout
+	// to end, which takes longer than a round trip to another zone of the region.
 	weightCrowding = 2.0
-	// boundedLoadFactor is how far above its fair share an engine's load may be before prompts that prefer it go elsewhere.
+	// boundedLoadFactor is the load relative to the fair share from which on prefix affinity selects another engine.
 	boundedLoadFactor = 1.25
 	// loadHalfLife is the age at which a reported load counts half.
 	loadHalfLife = 2 * time.Second
-	// refuseRetryAfter is the advice to a request that no engine can take, until the view changes.
+	// refuseRetryAfter is the Retry-After of a request that no engine can take until the view changes.
 	refuseRetryAfter = time.Second
 )
 
-// Request is what a placement needs to know of a request.
+// Request is the input of a placement.
 type Request struct {
 	Pool          string
 	Interactive   bool
 	MinVersion    int64
 	PreferVersion int64
-	// PrefixKey groups prompts that share a prefix; 0 means none.
+	// PrefixKey identifies prompts with a common prefix; 0 means none.
 	PrefixKey uint64
-	// TieKey spreads requests over engines of the same score.
+	// TieKey spreads requests over engines with equal scores.
 	TieKey uint64
-	// Avoid names engines that must not be chosen.
+	// Avoid names engines that must not be selected.
 	Avoid []string
-	// Last names an engine that just failed this request: it is chosen only when there is no other.
+	// LastFailed names the engine that just failed this request. It is selected only if there is no other.
 	Last string
 }
 
 // Kind is the kind of a decision.
 type Kind int
 
-// The decisions.
+// Kind values.
 const (
-	// Refuse: no engine can take the request until the view changes.
+	// Refuse means that no engine can take the request until the view changes.
 	Refuse Kind = iota
-	// Wait: an engine could take the request later.
+	// Wait means that an engine may take the request later.
 	Wait
-	// Placed: Engine is to run the request.
+	// Placed means that Engine is to run the request.
 	Placed
 )
 
-// Filter is one hard rule, in the order in which the rules are applied.
+// Filter is a hard rule. Filters apply in the order of their values.
 type Filter int
 
-// The filters.
+// Filter values.
 const (
 	FilterPool Filter = iota
 	FilterZone
@@ -94,10 +94,10 @@
 	return filterNames[f]
 }
 
-// passing reports whether what the filter removes may come back without a new configuration.
-func (f Filter) passing() bool { return f >= FilterIncarnation }
+// transient reports whether engines removed by the filter may become available without a new configuration.
+func (f Filter) transient() bool { return f >= FilterIncarnation }
 
-// Explanation tells how many engines each filter removed.
+// Explanation counts the engines removed by each filter.
 type Explanation struct {
 	Engines int
 	Removed [filterCount]int
@@ -108,20 +108,20 @@
 	Kind Kind
 	// Engine is the index into the snapshot's engines, or -1.
 	Engine int
-	// Reason is the last filter that removed an engine of the pool; it explains Wait and Refuse.
+	// Reason is the last filter that removed an engine of the pool, for Wait and Refuse.
 	Reason Filter
-	// RetryAfter is the advice that goes with Refuse.
+	// RetryAfter is set for Refuse.
 	RetryAfter  time.Duration
 	Explanation Explanation
 }
 
-// Placer makes decisions. It keeps its buffers, so that a decision allocates nothing. It is not safe for concurrent use.
+// Placer makes decisions. It reuses its buffers, so that a decision does not allocate. It is not safe for concurrent use.
 type Placer struct {
 	candidates []*row
 	members    []rendezvous.Member
 }
 
-// Place decides where the request runs and counts it as in flight there when it is placed.
+// Place decides where the request runs and reserves a slot there.
 func (p *Placer) Place(now time.Time, snapshot *Snapshot, request *Request) Decision {
 	decision := p.Evaluate(now, snapshot, request)
 	if decision.Kind == Placed {
@@ -130,7 +130,7 @@
 	return decision
 }
 
-// Evaluate decides as Place does and reserves nothing.
+// Evaluate decides like Place without reserving.
 func (p *Placer) Evaluate(now time.Time, snapshot *Snapshot, request *Request) Decision {
 	decision := Decision{Engine: -1, Reason: FilterPool}
 	pool, ok := snapshot.View.Pools[request.Pool]
@@ -147,7 +147,7 @@
 	return decision
 }
 
-// SlotLimit returns how many requests may be in flight on an engine when one more of the class is to start.
+// SlotLimit returns the maximum number of requests in flight on an engine for one more request of the class to start.
 func SlotLimit(maxConcurrent, interactiveReserve int, interactive bool) int {
 	limit := maxConcurrent
 	if limit <= 0 {
@@ -204,7 +204,7 @@
 			break
 		}
 	}
-	if decision.Reason.passing() {
+	if decision.Reason.transient() {
 		decision.Kind = Wait
 		return decision
 	}
@@ -234,21 +234,21 @@
 			score += weightAffinity
 		}
 		if request.Last != "" && candidate.name == request.Last {
-			score -= weightLast
+			score -= weightLastFailed
 		}
-		if best == nil || score > bestScore || (score == bestScore && wins(request.TieKey, candidate, best)) {
+		if best == nil || score > bestScore || (score == bestScore && winsTie(request.TieKey, candidate, best)) {
 			best, bestScore = candidate, score
 		}
 	}
 	return best.index
 }
 
-// wins breaks a tie, so that requests spread over engines of the same score.
-func wins(key uint64, challenger, best *row) bool {
+// winsTie breaks ties, which spreads requests over engines with equal scores.
+func winsTie(key uint64, challenger, best *row) bool {
 	return rendezvous.Mix(key, challenger.state.Hash) > rendezvous.Mix(key, best.state.Hash)
 }
 
-// preferred returns the engine that the prompt's prefix prefers, or nil.
+// preferred returns the candidate with affinity to the prompt's prefix, or nil.
 func (p *Placer) preferred(request *Request) *row {
 	if request.PrefixKey == 0 {
 		return nil
@@ -267,7 +267,7 @@
 	return total
 }
 
-// freshness is 1 at the preferred version or above and falls with each version below it.
+// freshness is 1 from the preferred version on and falls with each version below it.
 func freshness(version, preferred int64) float64 {
 	if preferred <= 0 || version >= preferred {
 		return 1
@@ -275,8 +275,8 @@
 	return 1 / (1 + float64(preferred-version))
 }
 
-// occupancy is the share of the engine's slots in use: the greater of the node's own count, which is exact, and the
-// load that the engine reported, which covers other nodes but is old.
+// occupancy is the share of the engine's slots in use: the greater of this node's exact count and the load that the engine reported, which
+// includes other nodes and is decayed by its age.
 func (s *EngineState) occupancy(now time.Time, maxConcurrent int) float64 {
 	used := float64(s.InFlight)
 	if s.ReportedLoad > s.InFlight {
--- a/internal/scheduler/placer_test.go
+++ b/internal/scheduler/placer_test.go
@@ -53,52 +53,52 @@
 		name   string
 		view   func(*cluster.View)
 		state  func(*scheduler.EngineState)
-		ask    func(*scheduler.Request)
+		modify func(*scheduler.Request)
 		kind   scheduler.Kind
 		reason scheduler.Filter
 	}{
 		{name: "free", kind: scheduler.Placed},
-		{name: "unknown pool", ask: func(r *scheduler.Request) { r.Pool = "other" }, reason: scheduler.FilterPool},
+		{name: "unknown pool", modify: func(r *scheduler.Request) { r.Pool = "other" }, reason: scheduler.FilterPool},
 		{name: "zone not permitted", view: func(v *cluster.View) { v.Pools["pool"].Spec.PermittedZones = []string{"b"} },
 			reason: scheduler.FilterZone},
 		{name: "cordoned", view: func(v *cluster.View) { v.Zones["a"].Spec.Cordoned = true }, reason: scheduler.FilterCordoned},
 		{name: "leaving", view: func(v *cluster.View) { v.Engines[0].Leaving = true }, reason: scheduler.FilterLeaving},
 		{name: "draining by the spec", reason: scheduler.FilterLeaving,
 			view: func(v *cluster.View) { v.Pools["pool"].Spec.DrainingEngines = []string{"engine-00000"} }},
-		{name: "draining by its own word", reason: scheduler.FilterLeaving,
+		{name: "draining by its own refusal", reason: scheduler.FilterLeaving,
 			state: func(s *scheduler.EngineState) { s.DrainingUntil = epoch.Add(time.Second) }},
-		{name: "avoided", ask: func(r *scheduler.Request) { r.Avoid = []string{"engine-00000"} }, reason: scheduler.FilterAvoided},
+		{name: "avoided", modify: func(r *scheduler.Request) { r.Avoid = []string{"engine-00000"} }, reason: scheduler.FilterAvoided},
 		{name: "incarnation unknown", view: func(v *cluster.View) { v.Engines[0].Incarnation = "" },
 			kind: scheduler.Wait, reason: scheduler.FilterIncarnation},
 		{name: "incarnation refused", state: func(s *scheduler.EngineState) { s.Unusable = true },
 			kind: scheduler.Wait, reason: scheduler.FilterIncarnation},
-		{name: "version too low", ask: func(r *scheduler.Request) { r.MinVersion = 6 },
+		{name: "version too low", modify: func(r *scheduler.Request) { r.MinVersion = 6 },
 			kind: scheduler.Wait, reason: scheduler.FilterVersion},
-		{name: "version observed", ask: func(r *scheduler.Request) { r.MinVersion = 6 }, kind: scheduler.Placed,
+		{name: "version observed", modify: func(r *scheduler.Request) { r.MinVersion = 6 }, kind: scheduler.Placed,
 			state: func(s *scheduler.EngineState) { s.ObserveVersion("1", 6) }},
-		{name: "version of another incarnation", ask: func(r *scheduler.Request) { r.MinVersion = 6 },
+		{name: "version of another incarnation", modify: func(r *scheduler.Request) { r.MinVersion = 6 },
 			state: func(s *scheduler.EngineState) { s.ObserveVersion("0", 6) },
 			kind:  scheduler.Wait, reason: scheduler.FilterVersion},
 		{name: "held", state: func(s *scheduler.EngineState) { s.HoldUntil = epoch.Add(1) },
 			kind: scheduler.Wait, reason: scheduler.FilterBreaker},
 		{name: "full", state: func(s *scheduler.EngineState) { s.InFlight = 4 }, kind: scheduler.Wait, reason: scheduler.FilterFull},
-		{name: "last slot is interactive", state: func(s *scheduler.EngineState) { s.InFlight = 3 }, kind: scheduler.Placed},
-		{name: "last slot is no rollout's", state: func(s *scheduler.EngineState) { s.InFlight = 3 },
-			ask:  func(r *scheduler.Request) { r.Interactive = false },
-			kind: scheduler.Wait, reason: scheduler.FilterFull},
-		{name: "failed it before, but is the only one", kind: scheduler.Placed,
-			ask: func(r *scheduler.Request) { r.Last = "engine-00000" }},
+		{name: "last slot is reserved for interactive requests", state: func(s *scheduler.EngineState) { s.InFlight = 3 }, kind: scheduler.Placed},
+		{name: "last slot is refused to rollouts", state: func(s *scheduler.EngineState) { s.InFlight = 3 },
+			modify: func(r *scheduler.Request) { r.Interactive = false },
+			kind:   scheduler.Wait, reason: scheduler.FilterFull},
+		{name: "failed the request before, but is the only engine", kind: scheduler.Placed,
+			modify: func(r *scheduler.Request) { r.Last = "engine-00000" }},
 	}
 	for _, c := range cases {
 		Convey(c.name, t, func() {
-			view, asked := newView(1), request
+			view, modified := newView(1), request
 			if c.view != nil {
 				c.view(view)
 			}
-			if c.ask != nil {
-				c.ask(&asked)
+			if c.modify != nil {
+				c.modify(&modified)
 			}
-			decision := place(view, asked, func(snapshot *scheduler.Snapshot) {
+			decision := place(view, modified, func(snapshot *scheduler.Snapshot) {
 				if c.state != nil {
 					c.state(snapshot.States[0])
 				}
@@ -110,7 +110,7 @@
 			if c.kind == scheduler.Refuse {
 				So(decision.RetryAfter, ShouldBeGreaterThan, 0)
 			}
-			if c.kind != scheduler.Placed && asked.Pool == "pool" {
+			if c.kind != scheduler.Placed && modified.Pool == "pool" {
 				So(decision.Explanation.Removed[c.reason], ShouldEqual, 1)
 			}
 		})
@@ -118,30 +118,30 @@
 }
 
 func TestScores(t *testing.T) {
-	ask := scheduler.Request{Pool: "pool", Interactive: true}
-	Convey("The own zone comes first, then the region", t, func() {
-		decision := place(newView(3), ask, nil)
+	request := scheduler.Request{Pool: "pool", Interactive: true}
+	Convey("The node's own zone is preferred, then its region", t, func() {
+		decision := place(newView(3), request, nil)
 		So(decision.Engine, ShouldEqual, 0)
-		decision = place(newView(3), ask, func(s *scheduler.Snapshot) { s.States[0].InFlight = 4 })
+		decision = place(newView(3), request, func(s *scheduler.Snapshot) { s.States[0].InFlight = 4 })
 		So(decision.Engine, ShouldEqual, 1)
 	})
-	Convey("Load that an engine reported counts, and less with age", t, func() {
+	Convey("Reported load lowers the score, less so with age", t, func() {
 		report := func(age time.Duration) func(*scheduler.Snapshot) {
 			return func(s *scheduler.Snapshot) { s.States[0].ObserveLoad(epoch.Add(-age), 4) }
 		}
-		So(place(newView(3), ask, report(0)).Engine, ShouldEqual, 1)
-		So(place(newView(3), ask, report(time.Minute)).Engine, ShouldEqual, 0)
+		So(place(newView(3), request, report(0)).Engine, ShouldEqual, 1)
+		So(place(newView(3), request, report(time.Minute)).Engine, ShouldEqual, 0)
 	})
 	Convey("A preferred version outweighs distance", t, func() {
-		fresh := ask
+		fresh := request
 		fresh.PreferVersion = 9
 		decision := place(newView(3), fresh, func(s *scheduler.Snapshot) { s.States[2].ObserveVersion("1", 9) })
 		So(decision.Engine, ShouldEqual, 2)
 	})
-	Convey("Prompts of one prefix go to one engine until it has its share", t, func() {
+	Convey("Prompts with a common prefix go to one engine up to the bounded load", t, func() {
 		snapshot := scheduler.NewSnapshot(newView(12), "a", nil)
 		var placer scheduler.Placer
-		prefixed := ask
+		prefixed := request
 		prefixed.PrefixKey = 77
 		first := placer.Evaluate(epoch, snapshot, &prefixed).Engine
 		prefixed.TieKey = 123456
@@ -151,14 +151,14 @@
 		}
 		So(snapshot.States[first].InFlight, ShouldBeLessThanOrEqualTo, 4)
 	})
-	Convey("The engine that failed the request comes last", t, func() {
-		again := ask
-		again.Last = "engine-00000"
-		So(place(newView(3), again, nil).Engine, ShouldNotEqual, 0)
+	Convey("The engine that failed the request is chosen last", t, func() {
+		retried := request
+		retried.Last = "engine-00000"
+		So(place(newView(3), retried, nil).Engine, ShouldNotEqual, 0)
 	})
 }
 
-func TestNeverPlacedOutsideTheRules(t *testing.T) {
+func TestPlacementObeysFilters(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		view := newView(rapid.IntRange(1, 12).Draw(t, "engines"))
 		pool := view.Pools["pool"]
@@ -176,17 +176,17 @@
 			}
 			engine := view.Engines[decision.Engine]
 			if !view.Permitted("pool", engine.Zone) || engine.Leaving {
-				t.Fatalf("placed on %+v", engine)
+				t.Fatalf("placed on an engine that is not permitted or leaving: %+v", engine)
 			}
 			if snapshot.States[decision.Engine].InFlight > 3 {
-				t.Fatalf("a rollout took the interactive reserve")
+				t.Fatalf("a rollout was placed on the interactive reserve")
 			}
 		}
 	})
 }
 
 func TestSnapshotCarriesState(t *testing.T) {
-	Convey("Counts survive a new view, observations of another incarnation do not", t, func() {
+	Convey("In-flight counts survive a new view; observations of another incarnation do not", t, func() {
 		first := scheduler.NewSnapshot(newView(2), "a", nil)
 		first.States[0].Reserve(epoch, true)
 		first.States[0].ObserveVersion("1", 8)
@@ -222,14 +222,14 @@
 	}
 }
 
-func TestInteractiveRequestsSpreadOverTheFreeSlots(t *testing.T) {
-	Convey("An interactive request goes to another zone of the region rather than beyond the slots kept free", t, func() {
+func TestInteractiveRequestsSpreadOverReservedSlots(t *testing.T) {
+	Convey("An interactive request prefers another zone of the region over exceeding the reserved slots", t, func() {
 		view := newView(2)
 		decision := place(view, scheduler.Request{Pool: "pool", Interactive: true}, func(snapshot *scheduler.Snapshot) {
 			snapshot.States[0].Reserve(epoch, true)
 		})
 		So(view.Engines[decision.Engine].Zone, ShouldEqual, "b")
-		Convey("and a rollout does not", func() {
+		Convey("but a rollout stays in the own zone", func() {
 			decision := place(view, scheduler.Request{Pool: "pool"}, func(snapshot *scheduler.Snapshot) {
 				snapshot.States[0].Reserve(epoch, false)
 				snapshot.States[1].Reserve(epoch, false)
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -6,33 +6,33 @@
 	"time"
 )
 
-// scanDepth bounds the requests of one flow that a scan tries when the first ones cannot start yet.
+// scanDepth bounds the items of one flow that a scan tries.
 const scanDepth = 64
 
-// defaultExpectedTokens is the length assumed of a request that predicts none.
+// defaultExpectedTokens is the assumed length of an answer of unknown length.
 const defaultExpectedTokens = 256
 
 // Item is a request that waits.
 type Item struct {
-	// ID identifies the item; it must be unique in the queue.
+	// ID must be unique in the queue.
 	ID          uint64
 	Interactive bool
 	Pool        string
-	// Caller is the flow that shares are counted by, and Weight its share; zero or less means 1.
+	// Caller identifies the flow for fair queueing, and Weight is its share; zero or less means 1.
 	Caller string
 	Weight int
-	// Rank orders the rollouts of one caller: a lower one goes first, whatever its length.
+	// Rank orders the rollouts of one caller, lower ranks first.
 	Rank int64
 	// Tokens is the expected length of the answer; zero or less means unknown.
 	Tokens   int
 	Deadline time.Time
-	// Since is the time of arrival, which decides how long the item may still wait.
+	// ArrivedAt is the time of arrival, from which the wait is counted.
 	Since time.Time
-	// Service is the expected time from the start to the end; zero or less means unknown.
+	// ServiceTime is the expected time from start to end; zero or less means unknown.
 	Service time.Duration
-	// Started items may have run in part, so that they are worth an attempt however little time is left.
+	// Started is true for items that may have run in part. They are attempted regardless of their deadline.
 	Started bool
-	// Readmitted items were admitted before; bounds and early refusal do not apply to them again.
+	// Readmitted is true for items that were admitted before. Queue limits and early refusal do not apply to them.
 	Readmitted bool
 }
 
@@ -54,7 +54,7 @@
 	Tokens   int64
 }
 
-// Rejection says why a request may not wait.
+// Rejection is the result of a refused Push.
 type Rejection struct {
 	Reason     RejectionReason
 	RetryAfter time.Duration
@@ -63,36 +63,34 @@
 // RejectionReason is the reason of a rejection.
 type RejectionReason string
 
-// The rejection reasons.
+// RejectionReason values.
 const (
 	RejectedRequests RejectionReason = "queue_requests"
 	RejectedTokens   RejectionReason = "queue_tokens"
 	RejectedDeadline RejectionReason = "deadline"
-	// RejectedWait: an interactive request would wait longer than callers are to be kept waiting.
+	// RejectedWait means that an interactive request would exceed its wait limit.
 	RejectedWait RejectionReason = "wait"
 )
 
-// Verdict is what a scan does with an item.
+// Verdict is the decision of a scan on an item.
 type Verdict int
 
-// The verdicts.
+// Verdict values.
 const (
 	// Take removes the item, which starts now, and charges its caller.
 	Take Verdict = iota
-	// Drop removes the item, which will not start, and charges nothing.
+	// Drop removes the item without charging its caller.
 	Drop
-	// Skip leaves the item; later ones may still start.
+	// Skip leaves the item and continues with later ones.
 	Skip
-	// Stop leaves the item and ends the scan of its class and pool: nothing there can start now.
+	// Stop leaves the item and ends the scan of its class and pool.
 	Stop
 )
 
 // Queue holds the requests that wait for an engine.
 //
-// Interactive requests go before rollouts. Within a class and pool, callers share by start-time fair queueing on
-// expected tokens; within one caller, interactive requests go in order of arrival, and rollouts by rank and then longest
-// first.
-// It is not safe for concurrent use.
+// Interactive requests go before rollouts. Within a class and pool, callers share by start-time fair queueing on expected tokens. Within a
+// caller, interactive requests are ordered by arrival, and rollouts by rank, then longest first. It is not safe for concurrent use.
 type Queue struct {
 	limits   QueueLimits
 	lanes    map[laneKey]*lane
@@ -114,7 +112,7 @@
 	sequence uint64
 	lane     *lane
 	flow     *flow
-	// skipped is the number of the last scan that left the item; a scan offers an item once.
+	// skipped is the number of the last scan that skipped the item; a scan offers an item once.
 	skipped uint64
 }
 
@@ -123,7 +121,7 @@
 	return &Queue{limits: limits, lanes: make(map[laneKey]*lane), items: make(map[uint64]*entry)}
 }
 
-// Push admits an item at now, or returns why it may not wait.
+// Push admits an item at now, or returns the reason for rejecting it.
 func (q *Queue) Push(now time.Time, item Item) *Rejection {
 	lane := q.lane(laneKey{interactive: item.Interactive, pool: item.Pool})
 	if rejection := q.admit(now, &item, lane); rejection != nil {
@@ -138,7 +136,7 @@
 	return nil
 }
 
-// Remove takes an item out, for example because its caller has gone. It reports whether the item was there.
+// Remove removes an item. It reports whether the item was queued.
 func (q *Queue) Remove(id uint64) bool {
 	queued, ok := q.items[id]
 	if !ok {
@@ -149,7 +147,7 @@
 	return true
 }
 
-// Shed offers the interactive items that have waited longest, of each caller, to drop, until it keeps one.
+// Shed offers the interactive items of each caller to drop, oldest first, until drop returns false.
 func (q *Queue) Shed(drop func(*Item) bool) {
 	for _, lane := range q.order {
 		if lane.key.interactive {
@@ -168,8 +166,7 @@
 	}
 }
 
-// Scan offers waiting items in their order to try, which decides on each. An item that is taken counts against its
-// caller's share.
+// Scan offers the waiting items in order to try, which decides on each.
 func (q *Queue) Scan(now time.Time, try func(*Item) Verdict) {
 	q.scans++
 	for _, lane := range q.order {
@@ -183,8 +180,7 @@
 // Tokens returns the expected tokens of all waiting requests.
 func (q *Queue) Tokens() int64 { return q.tokens }
 
-// Wait estimates how long a new request of the class and pool would wait, from the measured drain rate of its lane.
-// It is zero while nothing has been measured.
+// EstimateWait estimates the wait of a new request of the class and pool from the measured drain rate. It is zero without measurements.
 func (q *Queue) Wait(now time.Time, interactive bool, pool string) time.Duration {
 	lane, ok := q.lanes[laneKey{interactive: interactive, pool: pool}]
 	if !ok {
@@ -207,7 +203,7 @@
 	if item.Late(now.Add(wait)) {
 		return &Rejection{Reason: RejectedDeadline, RetryAfter: clampRetryAfter(wait)}
 	}
-	if item.Interactive && wait > item.patience() {
+	if item.Interactive && wait > item.waitLimit() {
 		return &Rejection{Reason: RejectedWait, RetryAfter: clampRetryAfter(wait)}
 	}
 	return nil
@@ -241,12 +237,12 @@
 	}
 	created := &lane{key: key, flows: make(map[string]*flow)}
 	q.lanes[key] = created
-	at, _ := slices.BinarySearchFunc(q.order, key, func(l *lane, target laneKey) int { return compareLanes(l.key, target) })
-	q.order = slices.Insert(q.order, at, created)
+	index, _ := slices.BinarySearchFunc(q.order, key, func(l *lane, target laneKey) int { return compareLanes(l.key, target) })
+	q.order = slices.Insert(q.order, index, created)
 	return created
 }
 
-// compareLanes puts interactive lanes first.
+// compareLanes sorts interactive lanes first.
 func compareLanes(a, b laneKey) int {
 	if a.interactive != b.interactive {
 		return class(b.interactive) - class(a.interactive)
--- a/internal/scheduler/queue_test.go
+++ b/internal/scheduler/queue_test.go
@@ -10,7 +10,7 @@
 	"github.com/covelink/covelink/internal/scheduler"
 )
 
-var wide = scheduler.QueueLimits{Requests: 1 << 20, Tokens: 1 << 40}
+var unlimited = scheduler.QueueLimits{Requests: 1 << 20, Tokens: 1 << 40}
 
 // takeOne takes the first item of the queue.
 func takeOne(queue *scheduler.Queue, now time.Time) (taken scheduler.Item, ok bool) {
@@ -24,7 +24,7 @@
 	return taken, ok
 }
 
-func TestOrder(t *testing.T) {
+func TestQueueOrder(t *testing.T) {
 	push := func(queue *scheduler.Queue, items ...scheduler.Item) {
 		for _, item := range items {
 			So(queue.Push(epoch, item), ShouldBeNil)
@@ -39,16 +39,16 @@
 			ids = append(ids, item.ID)
 		}
 	}
-	Convey("Interactive first in order of arrival, then rollouts longest first", t, func() {
-		queue := scheduler.NewQueue(wide)
+	Convey("Interactive requests go first by arrival, then rollouts longest first", t, func() {
+		queue := scheduler.NewQueue(unlimited)
 		push(queue,
 			scheduler.Item{ID: 1, Tokens: 10}, scheduler.Item{ID: 2, Tokens: 90}, scheduler.Item{ID: 3, Tokens: 50},
 			scheduler.Item{ID: 4, Interactive: true, Tokens: 5}, scheduler.Item{ID: 5, Interactive: true, Tokens: 50})
 		So(drain(queue), ShouldResemble, []uint64{4, 5, 2, 3, 1})
 		So(queue.Tokens(), ShouldEqual, 0)
 	})
-	Convey("A skipped item holds up neither its caller nor another pool, and is offered once a scan", t, func() {
-		queue := scheduler.NewQueue(wide)
+	Convey("A skipped item blocks neither its caller nor other pools, and is offered once per scan", t, func() {
+		queue := scheduler.NewQueue(unlimited)
 		push(queue, scheduler.Item{ID: 1, Tokens: 9}, scheduler.Item{ID: 2, Tokens: 1}, scheduler.Item{ID: 3, Pool: "other"})
 		offers := map[uint64]int{}
 		queue.Scan(epoch, func(item *scheduler.Item) scheduler.Verdict {
@@ -62,7 +62,7 @@
 		So(queue.Len(false), ShouldEqual, 1)
 	})
 	Convey("Removed items are never offered", t, func() {
-		queue := scheduler.NewQueue(wide)
+		queue := scheduler.NewQueue(unlimited)
 		push(queue, scheduler.Item{ID: 1}, scheduler.Item{ID: 2})
 		So(queue.Remove(1), ShouldBeTrue)
 		So(queue.Remove(1), ShouldBeFalse)
@@ -70,8 +70,8 @@
 	})
 }
 
-func TestBounds(t *testing.T) {
-	Convey("Requests are bounded by class, tokens over both", t, func() {
+func TestQueueLimits(t *testing.T) {
+	Convey("Requests are bounded per class, tokens over all classes", t, func() {
 		queue := scheduler.NewQueue(scheduler.QueueLimits{Requests: 1, Tokens: 100})
 		So(queue.Push(epoch, scheduler.Item{ID: 1, Tokens: 40}), ShouldBeNil)
 		rejection := queue.Push(epoch, scheduler.Item{ID: 2, Tokens: 40})
@@ -81,8 +81,8 @@
 		So(queue.Push(epoch, scheduler.Item{ID: 4, Tokens: 60, Interactive: true}), ShouldBeNil)
 		So(queue.Push(epoch, scheduler.Item{ID: 5, Tokens: 40, Readmitted: true}), ShouldBeNil)
 	})
-	Convey("A deadline that the measured drain rate cannot meet is refused early", t, func() {
-		queue := scheduler.NewQueue(wide)
+	Convey("A request is refused early if the measured drain rate cannot meet its deadline", t, func() {
+		queue := scheduler.NewQueue(unlimited)
 		now := epoch
 		for id := range uint64(40) {
 			So(queue.Push(now, scheduler.Item{ID: id, Tokens: 100}), ShouldBeNil)
@@ -102,17 +102,17 @@
 	})
 }
 
-// TestFairness checks the bound of start-time fair queueing: while two callers wait, the tokens they were served,
-// divided by their weights, differ by at most one greatest request of each.
+// TestFairness checks the bound of start-time fair queueing: the weighted service of two backlogged callers differs by at most one largest
+// request of each.
 func TestFairness(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const greatest = 200
-		queue := scheduler.NewQueue(wide)
+		const largest = 200
+		queue := scheduler.NewQueue(unlimited)
 		weights := map[string]int{"a": rapid.IntRange(1, 5).Draw(t, "a"), "b": rapid.IntRange(1, 5).Draw(t, "b")}
 		waiting := map[string]int{}
 		for id := range uint64(rapid.IntRange(2, 120).Draw(t, "items")) {
 			caller := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "caller")
-			tokens := rapid.IntRange(1, greatest).Draw(t, "tokens")
+			tokens := rapid.IntRange(1, largest).Draw(t, "tokens")
 			queue.Push(epoch, scheduler.Item{ID: id, Caller: caller, Weight: weights[caller], Tokens: tokens})
 			waiting[caller]++
 		}
@@ -121,7 +121,7 @@
 			item, _ := takeOne(queue, epoch)
 			waiting[item.Caller]--
 			served[item.Caller] += float64(item.Tokens) / float64(weights[item.Caller])
-			bound := float64(greatest)/float64(weights["a"]) + float64(greatest)/float64(weights["b"])
+			bound := float64(largest)/float64(weights["a"]) + float64(largest)/float64(weights["b"])
 			if difference := served["a"] - served["b"]; difference > bound || -difference > bound {
 				t.Fatalf("shares %v differ by more than %v", served, bound)
 			}
@@ -130,7 +130,7 @@
 }
 
 func TestRetryBudget(t *testing.T) {
-	Convey("Retries are a fraction of the successes once the burst is spent", t, func() {
+	Convey("Retries are limited to a fraction of the successes once the burst is spent", t, func() {
 		budget := scheduler.NewRetryBudget(0.25, 2)
 		So(budget.Withdraw(), ShouldBeTrue)
 		So(budget.Withdraw(), ShouldBeTrue)
@@ -147,7 +147,7 @@
 }
 
 func TestBreaker(t *testing.T) {
-	Convey("It opens after consecutive failures, lets one probe pass and grows its backoff", t, func() {
+	Convey("The breaker opens after consecutive failures, admits one probe and increases its backoff", t, func() {
 		var breaker scheduler.Breaker
 		breaker.Fail(epoch, 0.5)
 		breaker.Fail(epoch, 0.5)
@@ -173,15 +173,15 @@
 		breaker.Succeed()
 		So(breaker.State(second), ShouldEqual, scheduler.BreakerClosed)
 	})
-	Convey("Full jitter stays below the doubled base and the limit", t, func() {
+	Convey("Full jitter is bounded by the doubled base and by the limit", t, func() {
 		So(scheduler.FullJitter(time.Second, time.Minute, 3, 0), ShouldEqual, 0)
 		So(scheduler.FullJitter(time.Second, time.Minute, 3, 0.5), ShouldEqual, 4*time.Second)
 		So(scheduler.FullJitter(time.Second, time.Minute, 100, 0.5), ShouldEqual, 30*time.Second)
 	})
 }
 
-func TestRolloutsGoByRankBeforeLength(t *testing.T) {
-	Convey("Rollouts of one caller go by rank, and only within a rank longest first", t, func() {
+func TestRolloutOrder(t *testing.T) {
+	Convey("Rollouts of one caller are ordered by rank, then longest first", t, func() {
 		queue := scheduler.NewQueue(scheduler.QueueLimits{Requests: 10, Tokens: 10_000})
 		now := time.Unix(0, 0)
 		for _, item := range []scheduler.Item{
--- a/internal/scheduler/service.go
+++ b/internal/scheduler/service.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// serviceMemory is the share of the old measurement that a new one leaves, and serviceMinimum the number of answers below
-// which nothing is predicted.
+// serviceDecay is the weight that earlier measurements keep at each new one, and minServiceSamples the number of answers below which
+// nothing is predicted.
 const (
-	serviceMemory  = 0.98
-	serviceMinimum = 8
+	serviceDecay      = 0.98
+	minServiceSamples = 8
 )
 
-// ServiceTime measures how long answers take on engines, by their tokens. The zero ServiceTime predicts nothing. It is not
-// safe for concurrent use.
+// ServiceTime estimates the duration of answers from their tokens. The zero ServiceTime predicts nothing. It is not safe for concurrent
+// use.
 type ServiceTime struct {
 	answers int
 	weight  float64
@@ -18,21 +18,21 @@
 	tokens  float64
 }
 
-// Observe takes in an answer.
+// Observe adds a completed answer.
 func (s *ServiceTime) Observe(took time.Duration, tokens int) {
 	if tokens <= 0 || took <= 0 {
 		return
 	}
-	s.answers = min(s.answers+1, serviceMinimum)
-	s.weight = s.weight*serviceMemory + 1
-	s.seconds = s.seconds*serviceMemory + took.Seconds()
-	s.tokens = s.tokens*serviceMemory + float64(tokens)
+	s.answers = min(s.answers+1, minServiceSamples)
+	s.weight = s.weight*serviceDecay + 1
+	s.seconds = s.seconds*serviceDecay + took.Seconds()
+	s.tokens = s.tokens*serviceDecay + float64(tokens)
 }
 
-// Predict returns how long an answer of at most so many tokens is expected to take; zero or less means no bound. What a
-// caller states is an upper bound, so that the mean measured length counts when it is shorter. Zero means unknown.
+// Predict returns the expected duration of an answer of at most the given number of tokens; zero or less means no bound. The measured mean
+// length applies if it is shorter. It returns zero while unknown.
 func (s *ServiceTime) Predict(tokens int) time.Duration {
-	if s.answers < serviceMinimum {
+	if s.answers < minServiceSamples {
 		return 0
 	}
 	expected := s.tokens / s.weight
--- a/internal/scheduler/snapshot.go
+++ b/internal/scheduler/snapshot.go
@@ -9,41 +9,41 @@
 	"github.com/covelink/covelink/internal/cluster"
 )
 
-// The distances between a node and an engine.
+// Distances between a node and an engine.
 const (
 	DistanceSameZone   = 0
 	DistanceSameRegion = 1
 	DistanceOther      = 2
 )
 
-// EngineState is what this node knows of an engine besides the view. The fields above InFlight follow from the view.
+// EngineState is this node's state of an engine. The fields above InFlight depend on the view.
 type EngineState struct {
 	Hash uint64
 	// Distance is that between this node's zone and the engine's.
 	Distance int
-	// Version is the higher of the view's and the observed weight version of the engine's incarnation.
+	// Version is the higher of the view's and the observed weight version of the incarnation.
 	Version int64
 	// Incarnation is the one that the observed fields belong to.
 	Incarnation string
-	// Unusable is set when the engine refuses the view's incarnation. It holds until the view's entry of the engine changes.
+	// Unusable is set if the engine rejects the view's incarnation, until the view's entry of the engine changes.
 	Unusable bool
-	// DrainingUntil keeps new requests off after the engine itself refused one as draining; the view may lag behind it.
+	// DrainingUntil holds off new requests after the engine refused one as draining, which the view may show later.
 	DrainingUntil time.Time
 
 	// InFlight counts this node's requests on the engine.
 	InFlight            int
 	InFlightInteractive int
-	// windows are this node's shares of the engine by class.
+	// windows are this node's concurrency windows at the engine, by class.
 	windows [2]Window
-	// ReportedLoad is the number of requests that the engine itself reported at ReportedAt.
+	// ReportedLoad is the number of requests that the engine reported at ReportedAt.
 	ReportedLoad int
 	ReportedAt   time.Time
-	// HoldUntil keeps new requests off after the engine refused one as loading.
+	// HoldUntil holds off new requests after the engine refused one because it was loading.
 	HoldUntil time.Time
 	Breaker   Breaker
 }
 
-// Window returns this node's share of the engine for a class.
+// Window returns this node's concurrency window at the engine for a class.
 func (s *EngineState) Window(interactive bool) *Window { return &s.windows[class(interactive)] }
 
 // InFlightOf counts this node's requests of a class on the engine.
@@ -54,12 +54,12 @@
 	return s.InFlight - s.InFlightInteractive
 }
 
-// hasRoom reports whether the pool's limit and the node's share let one more request of the class start at now.
+// hasRoom reports whether the pool's limit and the node's window admit one more request of the class at now.
 func (s *EngineState) hasRoom(now time.Time, interactive bool, limit int) bool {
 	return s.InFlight < limit && s.Window(interactive).Open(now, s.InFlightOf(interactive))
 }
 
-// Reserve counts a request that is to start at now.
+// Reserve counts a request that starts at now.
 func (s *EngineState) Reserve(now time.Time, interactive bool) {
 	s.InFlight++
 	if interactive {
@@ -68,7 +68,7 @@
 	s.Breaker.Start(now)
 }
 
-// Release takes back what Reserve counted.
+// Release reverses the count of Reserve.
 func (s *EngineState) Release(interactive bool) {
 	s.InFlight--
 	if interactive {
@@ -79,31 +79,31 @@
 	}
 }
 
-// ObserveLoad takes over the number of requests that the engine reported.
+// ObserveLoad records the number of requests that the engine reported.
 func (s *EngineState) ObserveLoad(now time.Time, requests int) {
 	s.ReportedLoad = requests
 	s.ReportedAt = now
 }
 
-// ObserveVersion takes over a weight version that the incarnation stamped on a reply.
+// ObserveVersion records a weight version from a reply of the incarnation.
 func (s *EngineState) ObserveVersion(incarnation string, version int64) {
 	if incarnation == s.Incarnation {
 		s.Version = max(s.Version, version)
 	}
 }
 
-// Snapshot joins a view with the state of its engines.
+// Snapshot combines a view with the state of its engines.
 type Snapshot struct {
 	View *cluster.View
-	// States stands beside View.Engines.
+	// States is parallel to View.Engines.
 	States []*EngineState
-	// pools holds the engines of each pool, with what the view alone decides about them.
+	// pools holds the engines of each pool with the filters that depend on the view only.
 	pools map[string][]row
 	// departed holds the states of engines that left the view with requests in flight, by name.
 	departed map[string]*EngineState
 }
 
-// row is one engine of a pool. removed is the filter by which the view alone removes it, or filterCount.
+// row is an engine of a pool. removed is the filter by which the view alone removes it, or filterCount.
 type row struct {
 	index   int
 	removed Filter
@@ -111,8 +111,8 @@
 	state   *EngineState
 }
 
-// NewSnapshot returns the snapshot of a view for a node in selfZone. States of engines that previous holds are carried
-// over; what was observed of another incarnation is dropped. previous may be nil.
+// NewSnapshot returns the snapshot of a view for a node in selfZone. It carries over the engine states of previous, which may be nil,
+// without observations of other incarnations.
 func NewSnapshot(view *cluster.View, selfZone string, previous *Snapshot) *Snapshot {
 	known := previous.byName()
 	next := &Snapshot{View: view, States: make([]*EngineState, len(view.Engines)), pools: make(map[string][]row)}
@@ -134,7 +134,7 @@
 	return next
 }
 
-// inFlight keeps the states that still count requests, in case their engines come back.
+// inFlight returns the states with requests in flight, for engines that may return.
 func inFlight(known map[string]knownState) map[string]*EngineState {
 	departed := make(map[string]*EngineState)
 	for name, left := range known {
@@ -145,7 +145,7 @@
 	return departed
 }
 
-// Find returns the index of the engine of that name, or -1.
+// Find returns the index of the named engine, or -1.
 func (s *Snapshot) Find(name string) int {
 	index, found := slices.BinarySearchFunc(s.View.Engines, name, func(engine cluster.Engine, target string) int {
 		return strings.Compare(engine.Name, target)
@@ -176,7 +176,7 @@
 	return known
 }
 
-// refresh brings the state to the view's entry of the engine.
+// refresh updates the state from the view's entry of the engine.
 func refresh(known knownState, engine *cluster.Engine) {
 	state := known.state
 	if known.engine == nil || !sameEntry(known.engine, engine) {
@@ -195,7 +195,7 @@
 	state.Version = max(state.Version, engine.ActiveVersion)
 }
 
-// sameEntry reports whether the view says the same of the engine as before, as far as refusals depend on it.
+// sameEntry reports whether two entries are equal in the fields on which refusals depend.
 func sameEntry(a, b *cluster.Engine) bool {
 	return a.Incarnation == b.Incarnation && a.URL == b.URL && a.Zone == b.Zone && a.Leaving == b.Leaving
 }
@@ -237,7 +237,7 @@
 	return DistanceOther
 }
 
-// Usable reports whether the engine's own failures and refusals let a request start at now.
+// Usable reports whether the engine's failures and refusals allow a request to start at now.
 func (s *EngineState) Usable(now time.Time) bool {
 	return !s.Unusable && !now.Before(s.DrainingUntil) && !now.Before(s.HoldUntil) && s.Breaker.Ready(now)
 }
--- a/internal/scheduler/wait_limit.go
+++ b/internal/scheduler/wait_limit.go
@@ -2,18 +2,17 @@
 
 import "time"
 
-// How long an interactive request may wait: a share of its own expected time, or while nothing is measured of the time that
-// its caller gives it, and at least minPatience. It keeps the latency of what is admitted near that of an idle system while
-// more is asked for.
+// The wait of an interactive request is limited to a multiple of its expected service time or, if that is unknown, to a share of the time
+// until its deadline, and at least minWaitLimit. This bounds the latency of admitted requests under overload.
 const (
-	patienceFactor   = 1.0
-	patienceDeadline = 0.125
-	minPatience      = 500 * time.Millisecond
-	// overdueFactor is how much longer than admission allows a request may in fact wait before it is refused.
+	waitServiceFactor = 1.0
+	waitDeadlineShare = 0.125
+	minWaitLimit      = 500 * time.Millisecond
+	// overdueFactor is how far a queued request may exceed the limit applied at admission before it is refused.
 	overdueFactor = 2
 )
 
-// Late reports whether the item cannot end by its deadline when it starts at a time.
+// Late reports whether the item would miss its deadline if it started at the given time.
 func (i *Item) Late(start time.Time) bool {
 	if i.Deadline.IsZero() || i.Started {
 		return false
@@ -21,15 +20,15 @@
 	return start.Add(max(i.Service, 0)).After(i.Deadline)
 }
 
-// Overdue reports whether an interactive item has waited so long at now that it is to be refused if the engines are full.
+// Overdue reports whether an interactive item has waited too long at now and is to be refused if the engines are full.
 func (i *Item) Overdue(now time.Time) bool {
-	return i.Interactive && !i.Started && now.Sub(i.Since) > overdueFactor*i.patience()
+	return i.Interactive && !i.Started && now.Sub(i.Since) > overdueFactor*i.waitLimit()
 }
 
-func (i *Item) patience() time.Duration {
-	share := time.Duration(patienceFactor * float64(i.Service))
+func (i *Item) waitLimit() time.Duration {
+	share := time.Duration(waitServiceFactor * float64(i.Service))
 	if i.Service <= 0 && !i.Deadline.IsZero() {
-		share = time.Duration(patienceDeadline * float64(i.Deadline.Sub(i.Since)))
+		share = time.Duration(waitDeadlineShare * float64(i.Deadline.Sub(i.Since)))
 	}
-	return max(minPatience, share)
+	return max(minWaitLimit, share)
 }
--- a/internal/scheduler/window_test.go
+++ b/internal/scheduler/window_test.go
@@ -8,20 +8,20 @@
 	"pgregory.net/rapid"
 )
 
-func TestWindowFollowsTheEngine(t *testing.T) {
+func TestWindow(t *testing.T) {
 	now := time.Unix(0, 0)
-	Convey("A window bounds nothing until the engine refuses as full", t, func() {
+	Convey("A window is unlimited until the engine refuses a request as full", t, func() {
 		var w Window
 		So(w.Open(now, 1000), ShouldBeTrue)
 	})
-	Convey("After a refusal nothing starts during the hold, and half of what was in flight after it", t, func() {
+	Convey("After a refusal no request starts during the hold, and then half of those that were in flight", t, func() {
 		var w Window
 		w.Refuse(now, 8, 0.999)
 		So(w.Open(now.Add(windowBaseHold/2), 0), ShouldBeFalse)
 		So(w.Open(now.Add(windowBaseHold), 3), ShouldBeTrue)
 		So(w.Open(now.Add(windowBaseHold), 5), ShouldBeFalse)
 	})
-	Convey("A window grows with answers that leave room, not with others, and ends at the limit", t, func() {
+	Convey("A window grows with answers that left room only, and is unlimited again at the limit", t, func() {
 		var w Window
 		w.Refuse(now, 4, 0)
 		later := now.Add(windowBaseHold)
@@ -37,13 +37,13 @@
 		So(w, ShouldResemble, Window{refusedAt: now, holdUntil: now.Add(windowBaseHold / 2)})
 		So(w.Open(now, 1000), ShouldBeTrue)
 	})
-	Convey("A window regains a request with time, so that an engine which others have left is used again", t, func() {
+	Convey("A window grows with time, so that an engine whose other load has ended is used again", t, func() {
 		var w Window
 		w.Refuse(now, 0, 0)
 		So(w.Open(now.Add(windowBaseHold), 2), ShouldBeFalse)
-		So(w.Open(now.Add(2*windowRegain), 2), ShouldBeTrue)
+		So(w.Open(now.Add(2*windowRecoveryInterval), 2), ShouldBeTrue)
 	})
-	Convey("Whatever was refused, an engine is asked again within the greatest hold, and never at once", t, func() {
+	Convey("After any refusals an engine is held off, but no longer than the maximum hold", t, func() {
 		rapid.Check(t, func(t *rapid.T) {
 			var w Window
 			for range rapid.IntRange(1, 40).Draw(t, "refusals") {
@@ -56,10 +56,10 @@
 	})
 }
 
-func TestServiceTimePredicts(t *testing.T) {
-	Convey("Nothing is predicted from few answers; then the mean time, or less where the caller bounds the length", t, func() {
+func TestServiceTime(t *testing.T) {
+	Convey("Predict returns zero for few answers, then the mean time, or less if the caller bounds the length", t, func() {
 		var s ServiceTime
-		for range serviceMinimum - 1 {
+		for range minServiceSamples - 1 {
 			s.Observe(time.Second, 50)
 		}
 		So(s.Predict(100), ShouldEqual, 0)
@@ -70,7 +70,7 @@
 	})
 }
 
-func TestOverloadedQueueRefuses(t *testing.T) {
+func TestAdmission(t *testing.T) {
 	now := time.Unix(0, 0)
 	limits := QueueLimits{Requests: 100, Tokens: 100_000}
 	item := func(id uint64, since time.Time) Item {
@@ -80,10 +80,10 @@
 		}
 	}
 	take := func(*Item) Verdict { return Take }
-	// draining returns a queue that has started one request each 100 ms, with waiting ones behind.
-	draining := func(waiting int) (*Queue, time.Time) {
+	// newDrainingQueue returns a queue that has started one request every 100 ms and holds waiting ones.
+	newDrainingQueue := func(waiting int) (*Queue, time.Time) {
 		q, moment := NewQueue(limits), now
-		for id := range uint64(drainMinimum) {
+		for id := range uint64(minDrainSamples) {
 			So(q.Push(moment, item(id+1, moment)), ShouldBeNil)
 			moment = moment.Add(100 * time.Millisecond)
 			q.Scan(moment, take)
@@ -93,8 +93,8 @@
 		}
 		return q, moment
 	}
-	Convey("A request is refused at once when the wait and its own time exceed its deadline, with the wait as advice", t, func() {
-		q, moment := draining(9)
+	Convey("A request is refused at once if the wait and its service time exceed its deadline, with the wait as Retry-After", t, func() {
+		q, moment := newDrainingQueue(9)
 		late := item(200, moment)
 		late.Deadline = moment.Add(2500 * time.Millisecond)
 		rejection := q.Push(moment, late)
@@ -103,8 +103,8 @@
 		So(rejection.RetryAfter.Round(time.Millisecond), ShouldEqual, 900*time.Millisecond)
 		So(q.Push(moment, item(201, moment)), ShouldBeNil)
 	})
-	Convey("An interactive request is refused at once when it would wait longer than its own time, a rollout waits", t, func() {
-		q, moment := draining(21)
+	Convey("An interactive request is refused at once if the wait exceeds its service time; a rollout is not", t, func() {
+		q, moment := newDrainingQueue(21)
 		rejection := q.Push(moment, item(200, moment))
 		So(rejection, ShouldNotBeNil)
 		So(rejection.Reason, ShouldEqual, RejectedWait)
@@ -112,12 +112,12 @@
 		rollout.Interactive = false
 		So(q.Push(moment, rollout), ShouldBeNil)
 	})
-	Convey("What was refused by an engine as full goes before later arrivals and is charged once", t, func() {
+	Convey("A readmitted request goes before others", t, func() {
 		q := NewQueue(limits)
 		So(q.Push(now, item(1, now)), ShouldBeNil)
-		again := item(2, now)
-		again.Readmitted = true
-		So(q.Push(now, again), ShouldBeNil)
+		readmitted := item(2, now)
+		readmitted.Readmitted = true
+		So(q.Push(now, readmitted), ShouldBeNil)
 		var order []uint64
 		q.Scan(now, func(offered *Item) Verdict {
 			order = append(order, offered.ID)
@@ -125,7 +125,7 @@
 		})
 		So(order, ShouldResemble, []uint64{2, 1})
 	})
-	Convey("Shed drops the oldest interactive requests up to the first that is kept, and no rollout", t, func() {
+	Convey("Shed drops the oldest interactive requests up to the first that is kept, and no rollouts", t, func() {
 		q := NewQueue(limits)
 		for id := range uint64(4) {
 			So(q.Push(now, item(id, now.Add(time.Duration(id)*time.Second))), ShouldBeNil)
@@ -137,7 +137,7 @@
 		So(q.Len(true), ShouldEqual, 2)
 		So(q.Len(false), ShouldEqual, 1)
 	})
-	Convey("A request that may have run is neither late nor overdue", t, func() {
+	Convey("A request that may have run in part is neither late nor overdue", t, func() {
 		started := item(1, now)
 		started.Started = true
 		So(started.Late(now.Add(time.Hour)), ShouldBeFalse)
