--- a/internal/weightorder/manager.go
+++ b/internal/weightorder/manager.go
@@ -146,7 +146,7 @@
 	demand map[string]Demand
 	// maxEngines is the highest number of engines that each service has had.
 	maxEngines map[string]int
-	// replicas holds the replica sets of services that have many more engines than needed.
+	// replicaSets holds the replica sets of services that have many more engines than needed.
 	replicaSets map[string]replicaSets
 	// window bounds concurrent loads by their duration.
 	window *loadWindow
