--- a/internal/quarantine/guard.go
+++ b/internal/quarantine/guard.go
@@ -113,7 +113,7 @@
 	if g == nil {
 		return true
 	}
-	recordCrash := func() Standing { return g.recordCrash(request, fingerprint, engine) }
+	recordCrash := func() State { return g.recordCrash(request, fingerprint, engine) }
 	if g.Detector.Broke(request, fingerprint, engine, func() { recordCrash() }) != EngineEnded {
 		return true
 	}
@@ -121,7 +121,7 @@
 }
 
 // recordCrash records that an engine exited while running a request.
-func (g *Guard) recordCrash(request string, fingerprint Fingerprint, engine *fleet.Engine) Standing {
+func (g *Guard) recordCrash(request string, fingerprint Fingerprint, engine *fleet.Engine) State {
 	state, crashes := g.Table.NoteEnd(fingerprint, engine.ID)
 	level.Info(g.Logger).Log("msg", "engine exited while running request", "request", request, "fingerprint", fingerprint.Short(), "engine", engine.ID,
 		"engines_ended", crashes, "standing", state)
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -17,12 +17,12 @@
 )
 
 // State is the quarantine state of a request.
-type Standing int
+type State int
 
 // State values.
 const (
 	// Clear means that no engine is known to have exited under the request since its last successful run.
-	Clear Standing = iota
+	Clear State = iota
 	// Suspect means that an engine exited under the request.
 	Suspect
 	// Isolated means that the request runs apart from other isolated ones, at one engine per try of its caller, so that its next crash is
@@ -35,7 +35,7 @@
 var stateNames = [...]string{"clear", "suspect", "isolated", "held"}
 
 // String returns the name used in logs.
-func (s Standing) String() string { return stateNames[s] }
+func (s State) String() string { return stateNames[s] }
 
 // Cursor identifies a revision of a table.
 type Cursor struct {
@@ -85,7 +85,7 @@
 
 // Status is the state of a request. The zero value is that of a request without a record.
 type Status struct {
-	Standing Standing
+	Standing State
 	// Crashes counts the engines that exited under the request.
 	Ends int
 	// Wait is the time until a held request may be tried.
@@ -108,7 +108,7 @@
 	return status
 }
 
-func (e *entry) state() Standing {
+func (e *entry) state() State {
 	switch {
 	case e.record.held():
 		return Held
@@ -121,7 +121,7 @@
 }
 
 // RecordCrash records that an engine exited under a request, and returns the request's new state.
-func (t *Table) NoteEnd(fingerprint Fingerprint, engine string) (state Standing, crashes int) {
+func (t *Table) NoteEnd(fingerprint Fingerprint, engine string) (state State, crashes int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.getOrCreate(fingerprint)
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -27,7 +27,7 @@
 func newClock() *manualClock { return &manualClock{current: time.Unix(1_000_000, 0)} }
 
 func TestTableState(t *testing.T) {
-	stateOf := func(table *quarantine.Table, of quarantine.Fingerprint) quarantine.Standing {
+	stateOf := func(table *quarantine.Table, of quarantine.Fingerprint) quarantine.State {
 		return table.Status(of).Standing
 	}
 	bad, other := fingerprint("bad"), fingerprint("other")
@@ -35,7 +35,7 @@
 		clock := newClock()
 		table := quarantine.NewTable(clock.now)
 		So(table.Empty(), ShouldBeTrue)
-		for i, expected := range []quarantine.Standing{quarantine.Suspect, quarantine.Isolated, quarantine.Held} {
+		for i, expected := range []quarantine.State{quarantine.Suspect, quarantine.Isolated, quarantine.Held} {
 			state, crashes := table.NoteEnd(bad, fmt.Sprint("engine-", i))
 			So(state, ShouldEqual, expected)
 			So(crashes, ShouldEqual, i+1)
