--- a/internal/batchrun/place.go
+++ b/internal/batchrun/place.go
@@ -97,7 +97,7 @@
 		}
 		// Items of one group share a prompt, hence their engines, so an engine fault isolates all of them. Running them on separate engines shows
 		// which item causes the fault.
-		isolated := status.Standing >= quarantine.Isolated
+		isolated := status.State >= quarantine.Isolated
 		chosen := r.place(pass, waiting, isolated)
 		if chosen == nil || !r.canExecute(waiting.item) {
 			left++
--- a/internal/quarantine/coordinator.go
+++ b/internal/quarantine/coordinator.go
@@ -188,7 +188,7 @@
 			return err
 		}
 		status := k.Table.Status(fingerprint)
-		if status.Standing != Held {
+		if status.State != Held {
 			reply.Granted = true
 			return nil
 		}
--- a/internal/quarantine/coordinator_test.go
+++ b/internal/quarantine/coordinator_test.go
@@ -71,8 +71,8 @@
 			defer second.end()
 			time.Sleep(time.Second)
 			status := second.Table.Status(bad)
-			if status.Standing != quarantine.Held || status.Wait < 25*time.Second {
-				t.Errorf("state %v, next trial after %v", status.Standing, status.Wait)
+			if status.State != quarantine.Held || status.Wait < 25*time.Second {
+				t.Errorf("state %v, next trial after %v", status.State, status.Wait)
 			}
 		})
 	})
--- a/internal/quarantine/guard.go
+++ b/internal/quarantine/guard.go
@@ -70,7 +70,7 @@
 		return Admission{}
 	}
 	fingerprint := fingerprintOf()
-	switch status := g.Table.Status(fingerprint); status.Standing {
+	switch status := g.Table.Status(fingerprint); status.State {
 	case Held:
 		return g.admitHeld(ctx, request, fingerprint, status)
 	case Isolated:
--- a/internal/quarantine/listing.go
+++ b/internal/quarantine/listing.go
@@ -44,7 +44,7 @@
 		status := t.Status(record.Fingerprint)
 		list.Requests = append(list.Requests, Listing{
 			Fingerprint: record.Fingerprint.String(),
-			Standing:    status.Standing.String(),
+			Standing:    status.State.String(),
 			Engines:     record.Engines,
 			Trials:      record.Trials,
 			IdleMillis:  record.Idle.Milliseconds(),
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -85,7 +85,7 @@
 
 // Status is the state of a request. The zero value is that of a request without a record.
 type Status struct {
-	Standing State
+	State State
 	// Crashes counts the engines that exited under the request.
 	Ends int
 	// Wait is the time until a held request may be tried.
@@ -101,8 +101,8 @@
 	if e == nil {
 		return Status{}
 	}
-	status := Status{Standing: e.state(), Ends: len(e.record.Engines)}
-	if status.Standing == Held {
+	status := Status{State: e.state(), Ends: len(e.record.Engines)}
+	if status.State == Held {
 		status.Wait = e.wait(now)
 	}
 	return status
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -28,7 +28,7 @@
 
 func TestTableState(t *testing.T) {
 	stateOf := func(table *quarantine.Table, of quarantine.Fingerprint) quarantine.State {
-		return table.Status(of).Standing
+		return table.Status(of).State
 	}
 	bad, other := fingerprint("bad"), fingerprint("other")
 	Convey("A request is held after three crashes of different engine starts; other requests are unaffected", t, func() {
--- a/internal/storerelay/quarantine_test.go
+++ b/internal/storerelay/quarantine_test.go
@@ -39,12 +39,12 @@
 				suspect := quarantine.FingerprintOf("", "POST", "h", "/", nil)
 				table.NoteEnd(suspect, "engine-0")
 				time.Sleep(500 * time.Millisecond)
-				if standing := learnt.Status(suspect).Standing; standing != quarantine.Suspect {
+				if standing := learnt.Status(suspect).State; standing != quarantine.Suspect {
 					t.Errorf("standing 500 ms after the engine failure: got %v, want suspect", standing)
 				}
 				table.Release(suspect)
 				time.Sleep(500 * time.Millisecond)
-				if standing := learnt.Status(suspect).Standing; standing != quarantine.Clear {
+				if standing := learnt.Status(suspect).State; standing != quarantine.Clear {
 					t.Errorf("standing 500 ms after the release: got %v, want clear", standing)
 				}
 				cancel()
