--- a/internal/ctl/quarantine.go
+++ b/internal/ctl/quarantine.go
@@ -59,7 +59,7 @@
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(table, "FINGERPRINT\tSTANDING\tTRIALS\tIDLE\tNEXT TRIAL\tENGINES ENDED\n")
 	for _, request := range list.Requests {
-		fmt.Fprintf(table, "%s\t%s\t%d\t%s\t%s\t%s\n", request.Fingerprint, request.Standing, request.Trials,
+		fmt.Fprintf(table, "%s\t%s\t%d\t%s\t%s\t%s\n", request.Fingerprint, request.State, request.Trials,
 			time.Duration(request.IdleMillis)*time.Millisecond, time.Duration(request.WaitMillis)*time.Millisecond, strings.Join(request.Engines, ","))
 	}
 	return table.Flush()
--- a/internal/quarantine/listing.go
+++ b/internal/quarantine/listing.go
@@ -23,7 +23,7 @@
 // Listing describes one request.
 type Listing struct {
 	Fingerprint string `json:"fingerprint"`
-	Standing    string `json:"standing"`
+	State       string `json:"standing"`
 	// Engines are the engine starts that exited while running the request.
 	Engines []string `json:"engines"`
 	// Trials counts the trial runs granted since the request was held.
@@ -44,7 +44,7 @@
 		status := t.Status(record.Fingerprint)
 		list.Requests = append(list.Requests, Listing{
 			Fingerprint: record.Fingerprint.String(),
-			Standing:    status.State.String(),
+			State:       status.State.String(),
 			Engines:     record.Engines,
 			Trials:      record.Trials,
 			IdleMillis:  record.Idle.Milliseconds(),
