--- a/internal/quarantine/guard.go
+++ b/internal/quarantine/guard.go
@@ -88,7 +88,7 @@
 	}
 	if !granted {
 		g.observe(DecisionRefused)
-		level.Info(g.Logger).Log("msg", "held request refused", "request", request, "fingerprint", fingerprint.Short(), "engines_ended", status.Ends,
+		level.Info(g.Logger).Log("msg", "held request refused", "request", request, "fingerprint", fingerprint.Short(), "engines_ended", status.Crashes,
 			"retry_after", wait.Round(time.Millisecond), "err", err)
 		return Admission{Refused: true, RetryAfter: wait}
 	}
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -87,7 +87,7 @@
 type Status struct {
 	State State
 	// Crashes counts the engines that exited under the request.
-	Ends int
+	Crashes int
 	// Wait is the time until a held request may be tried.
 	Wait time.Duration
 }
@@ -101,7 +101,7 @@
 	if e == nil {
 		return Status{}
 	}
-	status := Status{State: e.state(), Ends: len(e.record.Engines)}
+	status := Status{State: e.state(), Crashes: len(e.record.Engines)}
 	if status.State == Held {
 		status.Wait = e.wait(now)
 	}
