--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -45,7 +45,7 @@
 }
 
 // Changes are the records that changed up to a cursor.
-type News struct {
+type Changes struct {
 	Cursor  Cursor
 	Records []Record
 }
@@ -198,14 +198,14 @@
 
 // Since returns the records that changed after a cursor, and a channel that is closed at the next change. A cursor of another table yields
 // all records.
-func (t *Table) Since(cursor Cursor) (News, <-chan struct{}) {
+func (t *Table) Since(cursor Cursor) (Changes, <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if cursor.Table != t.name {
 		cursor.Number = 0
 	}
 	if cursor.Number == t.revision {
-		return News{Cursor: Cursor{Table: t.name, Number: t.revision}}, t.changed
+		return Changes{Cursor: Cursor{Table: t.name, Number: t.revision}}, t.changed
 	}
 	return t.collect(func(e *entry) bool { return e.revision > cursor.Number }), t.changed
 }
@@ -218,7 +218,7 @@
 }
 
 // LocalSince returns the records that this process changed itself after a cursor; all records if the cursor is of another table.
-func (t *Table) Found(cursor Cursor) (News, <-chan struct{}) {
+func (t *Table) Found(cursor Cursor) (Changes, <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if cursor.Table != t.name {
@@ -250,9 +250,9 @@
 }
 
 // collect returns the matching records. The mutex must be held.
-func (t *Table) collect(match func(*entry) bool) News {
+func (t *Table) collect(match func(*entry) bool) Changes {
 	t.sweep()
-	changes := News{Cursor: Cursor{Table: t.name, Number: t.revision}}
+	changes := Changes{Cursor: Cursor{Table: t.name, Number: t.revision}}
 	for _, e := range t.entries {
 		if match(e) {
 			changes.Records = append(changes.Records, t.recordOf(e))
--- a/internal/storerelay/client_poll.go
+++ b/internal/storerelay/client_poll.go
@@ -122,7 +122,7 @@
 }
 
 // mergeQuarantine merges the new records of the hub's quarantine table.
-func (c *Client) mergeQuarantine(news quarantine.News) {
+func (c *Client) mergeQuarantine(news quarantine.Changes) {
 	if c.Quarantine == nil || news.Cursor == (quarantine.Cursor{}) {
 		return
 	}
--- a/internal/storerelay/hub.go
+++ b/internal/storerelay/hub.go
@@ -271,13 +271,13 @@
 }
 
 // quarantineUpdates returns the new records of the quarantine table, and a channel that is closed on the next change; nil without a table.
-func (h *Hub) quarantineUpdates(known quarantine.Cursor) (quarantine.News, <-chan struct{}) {
+func (h *Hub) quarantineUpdates(known quarantine.Cursor) (quarantine.Changes, <-chan struct{}) {
 	if h.Quarantine == nil {
-		return quarantine.News{}, nil
+		return quarantine.Changes{}, nil
 	}
 	news, changed := h.Quarantine.Since(known)
 	if news.Cursor == known {
-		return quarantine.News{}, changed
+		return quarantine.Changes{}, changed
 	}
 	return news, changed
 }
--- a/internal/storerelay/storerelay.go
+++ b/internal/storerelay/storerelay.go
@@ -112,7 +112,7 @@
 	// Revisions maps each requested kind to the hub's revision.
 	Revisions map[string]metastore.Revision
 	// Quarantine has the new records of the hub's quarantine table, even if Fresh is not set.
-	Quarantine quarantine.News
+	Quarantine quarantine.Changes
 	// Candidates are the internal addresses of the other known coordinator candidates.
 	Candidates []string
 	// Age is the time since the least recently confirmed requested kind was known to be current.
