--- a/internal/forward/crashing_test.go
+++ b/internal/forward/crashing_test.go
@@ -303,7 +303,7 @@
 func shareTable(ctx context.Context, table *quarantine.Table, all []*quarantine.Table) {
 	var cursor quarantine.Cursor
 	for ctx.Err() == nil {
-		found, changed := table.Found(cursor)
+		found, changed := table.LocalSince(cursor)
 		cursor = found.Cursor
 		if len(found.Records) > 0 {
 			pause.For(ctx, syncDelay)
--- a/internal/quarantine/reporter.go
+++ b/internal/quarantine/reporter.go
@@ -51,7 +51,7 @@
 		if term != t.reported {
 			t.cursor = Cursor{}
 		}
-		changes, changed := t.Table.Found(t.cursor)
+		changes, changed := t.Table.LocalSince(t.cursor)
 		if len(changes.Records) == 0 {
 			t.reported, t.cursor = term, changes.Cursor
 			pause.Unless(ctx, changed, termPollInterval)
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -218,7 +218,7 @@
 }
 
 // LocalSince returns the records that this process changed itself after a cursor; all records if the cursor is of another table.
-func (t *Table) Found(cursor Cursor) (Changes, <-chan struct{}) {
+func (t *Table) LocalSince(cursor Cursor) (Changes, <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if cursor.Table != t.name {
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -159,7 +159,7 @@
 			if len(all.Records) != 1 {
 				t.Error("no records for a cursor of another table")
 			}
-			found, _ := other.Found(quarantine.Cursor{Table: all.Cursor.Table})
+			found, _ := other.LocalSince(quarantine.Cursor{Table: all.Cursor.Table})
 			if len(found.Records) != 0 {
 				t.Error("a merged record is returned as a local change")
 			}
