--- a/internal/quarantine/coordinator_test.go
+++ b/internal/quarantine/coordinator_test.go
@@ -38,7 +38,7 @@
 
 func (s *term) hold(of quarantine.Fingerprint) {
 	for i := range 3 {
-		s.Table.NoteEnd(of, fmt.Sprint("engine-", i))
+		s.Table.RecordCrash(of, fmt.Sprint("engine-", i))
 	}
 }
 
@@ -106,7 +106,7 @@
 			if reply := leader.Try(t.Context(), other); reply.Granted || reply.Wait <= 0 {
 				t.Errorf("trial granted while the first was running: %+v", reply)
 			}
-			leader.Table.NoteEnd(bad, "engine-3")
+			leader.Table.RecordCrash(bad, "engine-3")
 			if !leader.Try(t.Context(), other).Granted {
 				t.Error("no trial after the first had its outcome")
 			}
@@ -190,7 +190,7 @@
 		var running sync.WaitGroup
 		running.Go(func() { teller.Run(ctx) })
 		time.Sleep(time.Second)
-		table.NoteEnd(fingerprint("found"), "engine-0")
+		table.RecordCrash(fingerprint("found"), "engine-0")
 		table.Merge([]quarantine.Record{{Fingerprint: fingerprint("learnt"), Engines: []string{"engine-1"}}})
 		time.Sleep(time.Second)
 		mu.Lock()
--- a/internal/quarantine/guard.go
+++ b/internal/quarantine/guard.go
@@ -122,7 +122,7 @@
 
 // recordCrash records that an engine exited while running a request.
 func (g *Guard) recordCrash(request string, fingerprint Fingerprint, engine *fleet.Engine) State {
-	state, crashes := g.Table.NoteEnd(fingerprint, engine.ID)
+	state, crashes := g.Table.RecordCrash(fingerprint, engine.ID)
 	level.Info(g.Logger).Log("msg", "engine exited while running request", "request", request, "fingerprint", fingerprint.Short(), "engine", engine.ID,
 		"engines_ended", crashes, "standing", state)
 	if state == Held {
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -121,7 +121,7 @@
 }
 
 // RecordCrash records that an engine exited under a request, and returns the request's new state.
-func (t *Table) NoteEnd(fingerprint Fingerprint, engine string) (state State, crashes int) {
+func (t *Table) RecordCrash(fingerprint Fingerprint, engine string) (state State, crashes int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.getOrCreate(fingerprint)
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -36,10 +36,10 @@
 		table := quarantine.NewTable(clock.now)
 		So(table.Empty(), ShouldBeTrue)
 		for i, expected := range []quarantine.State{quarantine.Suspect, quarantine.Isolated, quarantine.Held} {
-			state, crashes := table.NoteEnd(bad, fmt.Sprint("engine-", i))
+			state, crashes := table.RecordCrash(bad, fmt.Sprint("engine-", i))
 			So(state, ShouldEqual, expected)
 			So(crashes, ShouldEqual, i+1)
-			repeated, crashes := table.NoteEnd(bad, fmt.Sprint("engine-", i))
+			repeated, crashes := table.RecordCrash(bad, fmt.Sprint("engine-", i))
 			So(repeated, ShouldEqual, expected)
 			So(crashes, ShouldEqual, i+1)
 		}
@@ -73,7 +73,7 @@
 	Convey("A suspect record expires after ten minutes, and merging an expired record has no effect", t, func() {
 		clock := newClock()
 		table := quarantine.NewTable(clock.now)
-		table.NoteEnd(bad, "engine-0")
+		table.RecordCrash(bad, "engine-0")
 		clock.advance(10*time.Minute + time.Second)
 		So(stateOf(table, bad), ShouldEqual, quarantine.Clear)
 		table.Merge([]quarantine.Record{{Fingerprint: bad, Engines: []string{"engine-0"}, Idle: 11 * time.Minute}})
@@ -83,11 +83,11 @@
 		clock := newClock()
 		table := quarantine.NewTable(clock.now)
 		for i := range 3 {
-			table.NoteEnd(bad, fmt.Sprint("engine-", i))
+			table.RecordCrash(bad, fmt.Sprint("engine-", i))
 		}
 		for i := range 5000 {
 			clock.advance(time.Millisecond)
-			table.NoteEnd(fingerprint(fmt.Sprint(i)), "engine-9")
+			table.RecordCrash(fingerprint(fmt.Sprint(i)), "engine-9")
 		}
 		So(len(table.List()), ShouldBeLessThanOrEqualTo, 2048)
 		So(stateOf(table, bad), ShouldEqual, quarantine.Held)
@@ -108,7 +108,7 @@
 			table, request := tables[random.IntN(len(tables))], requests[random.IntN(len(requests))]
 			switch random.IntN(6) {
 			case 0, 1:
-				table.NoteEnd(request, fmt.Sprint("engine-", random.IntN(6)))
+				table.RecordCrash(request, fmt.Sprint("engine-", random.IntN(6)))
 			case 2:
 				table.Release(request)
 			case 3:
@@ -148,7 +148,7 @@
 			if len(first.Records) != 0 {
 				t.Error("an empty table returned changes")
 			}
-			table.NoteEnd(fingerprint("a"), "engine-0")
+			table.RecordCrash(fingerprint("a"), "engine-0")
 			<-changed
 			delta, _ := table.Since(first.Cursor)
 			if len(delta.Records) != 1 {
--- a/internal/storerelay/quarantine_test.go
+++ b/internal/storerelay/quarantine_test.go
@@ -37,7 +37,7 @@
 				running.Go(func() { client.Run(ctx) })
 				time.Sleep(2 * time.Second)
 				suspect := quarantine.FingerprintOf("", "POST", "h", "/", nil)
-				table.NoteEnd(suspect, "engine-0")
+				table.RecordCrash(suspect, "engine-0")
 				time.Sleep(500 * time.Millisecond)
 				if standing := learnt.Status(suspect).State; standing != quarantine.Suspect {
 					t.Errorf("standing 500 ms after the engine failure: got %v, want suspect", standing)
