--- a/internal/forward/crashing_test.go
+++ b/internal/forward/crashing_test.go
@@ -293,7 +293,7 @@
 	return func(_ context.Context, known quarantine.Record) (quarantine.TrialReply, error) {
 		wait := table.Status(known.Fingerprint).Wait
 		if wait == 0 {
-			table.NoteTrial(known.Fingerprint)
+			table.RecordTrial(known.Fingerprint)
 		}
 		return quarantine.TrialReply{Leading: true, Granted: wait == 0, Wait: wait}, nil
 	}
--- a/internal/quarantine/coordinator.go
+++ b/internal/quarantine/coordinator.go
@@ -198,7 +198,7 @@
 		if err := k.write(ctx, k.withTrial(fingerprint)); err != nil {
 			return err
 		}
-		k.Table.NoteTrial(fingerprint)
+		k.Table.RecordTrial(fingerprint)
 		k.trial = grantedTrial{record: k.Table.Record(fingerprint), grantedAt: k.Table.now()}
 		reply.Granted = true
 		return nil
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -145,7 +145,7 @@
 }
 
 // RecordTrial records that a held request was granted a trial run.
-func (t *Table) NoteTrial(fingerprint Fingerprint) {
+func (t *Table) RecordTrial(fingerprint Fingerprint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	e := t.lookup(fingerprint)
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -61,10 +61,10 @@
 			So(table.Status(bad).Wait, ShouldEqual, 2*time.Second)
 			clock.advance(2 * time.Second)
 			So(table.Status(bad).Wait, ShouldBeZeroValue)
-			table.NoteTrial(bad)
+			table.RecordTrial(bad)
 			So(table.Status(bad).Wait, ShouldEqual, 30*time.Second)
 			clock.advance(30 * time.Second)
-			table.NoteTrial(bad)
+			table.RecordTrial(bad)
 			So(table.Status(bad).Wait, ShouldEqual, time.Hour)
 			clock.advance(time.Hour + time.Second)
 			So(stateOf(table, bad), ShouldEqual, quarantine.Clear)
@@ -112,7 +112,7 @@
 			case 2:
 				table.Release(request)
 			case 3:
-				table.NoteTrial(request)
+				table.RecordTrial(request)
 			case 4:
 				delayed = append(delayed, table.List())
 			case 5:
