--- a/internal/forward/crashing_test.go
+++ b/internal/forward/crashing_test.go
@@ -152,7 +152,7 @@
 // Probe implements quarantine.Prober.
 func (p *crashPool) Probe(_ context.Context, listed *fleet.Engine) quarantine.Evidence {
 	if _, alive := p.find(listed); alive.Err() != nil {
-		return quarantine.EngineEnded
+		return quarantine.EngineExited
 	}
 	return quarantine.EngineListens
 }
--- a/internal/forward/quarantine_test.go
+++ b/internal/forward/quarantine_test.go
@@ -22,7 +22,7 @@
 type allEnginesEnded struct{}
 
 func (allEnginesEnded) Probe(context.Context, *fleet.Engine) quarantine.Evidence {
-	return quarantine.EngineEnded
+	return quarantine.EngineExited
 }
 
 func breaks(context.Context) (*Answer, error) { return nil, ErrConnectionBroken }
--- a/internal/quarantine/detector.go
+++ b/internal/quarantine/detector.go
@@ -38,7 +38,7 @@
 	// EngineListening means that the engine is running, so the connection broke for another reason.
 	EngineListens
 	// EngineExited means that the engine process exited while it ran the request, and possibly others.
-	EngineEnded
+	EngineExited
 )
 
 var evidenceNames = [...]string{"engine unknown", "engine listens", "engine ended"}
@@ -85,7 +85,7 @@
 			continue
 		}
 		d.logEvidence(request, fingerprint, engine, evidence)
-		if evidence == EngineEnded {
+		if evidence == EngineExited {
 			onExited()
 		}
 		return
--- a/internal/quarantine/detector_test.go
+++ b/internal/quarantine/detector_test.go
@@ -32,16 +32,16 @@
 	Convey("A broken attempt is logged with the request's fingerprint and the probe's result", t, func() {
 		var lines bytes.Buffer
 		var observed []quarantine.Evidence
-		found := quarantine.EngineEnded
+		found := quarantine.EngineExited
 		detector := quarantine.NewDetector(quarantine.DetectorParams{
 			Prober:  proberFunc(func(context.Context, *fleet.Engine) quarantine.Evidence { return found }),
 			Observe: func(evidence quarantine.Evidence) { observed = append(observed, evidence) },
 			Logger:  log.NewLogfmtLogger(&lines),
 		})
-		So(detector.Broke("r1", fingerprint, engine, neverCalled(t)), ShouldEqual, quarantine.EngineEnded)
+		So(detector.Broke("r1", fingerprint, engine, neverCalled(t)), ShouldEqual, quarantine.EngineExited)
 		found = quarantine.EngineListens
 		So(detector.Broke("r2", fingerprint, engine, neverCalled(t)), ShouldEqual, quarantine.EngineListens)
-		So(observed, ShouldResemble, []quarantine.Evidence{quarantine.EngineEnded, quarantine.EngineListens})
+		So(observed, ShouldResemble, []quarantine.Evidence{quarantine.EngineExited, quarantine.EngineListens})
 		So(lines.String(), ShouldContainSubstring, `request=r1 fingerprint=`+fingerprint.Short()+` engine=e evidence="engine ended"`)
 		So(lines.String(), ShouldContainSubstring, `request=r2 fingerprint=`+fingerprint.Short()+` engine=e evidence="engine listens"`)
 	})
@@ -69,7 +69,7 @@
 					<-ctx.Done()
 					return quarantine.EngineUnknown
 				}
-				return quarantine.EngineEnded
+				return quarantine.EngineExited
 			})
 			detector := quarantine.NewDetector(quarantine.DetectorParams{Prober: late, Logger: log.NewNopLogger()})
 			evidence := detector.Broke("r", fingerprint, engine, func() { reported.Add(1) })
@@ -85,7 +85,7 @@
 			slow := proberFunc(func(context.Context, *fleet.Engine) quarantine.Evidence {
 				probes.Add(1)
 				time.Sleep(10 * time.Millisecond)
-				return quarantine.EngineEnded
+				return quarantine.EngineExited
 			})
 			detector := quarantine.NewDetector(quarantine.DetectorParams{Prober: slow, Logger: log.NewNopLogger()})
 			var attempts sync.WaitGroup
