--- a/internal/forward/crashing_test.go
+++ b/internal/forward/crashing_test.go
@@ -154,7 +154,7 @@
 	if _, alive := p.find(listed); alive.Err() != nil {
 		return quarantine.EngineExited
 	}
-	return quarantine.EngineListens
+	return quarantine.EngineListening
 }
 
 // end ends a start of an engine and schedules its restart.
--- a/internal/quarantine/detector.go
+++ b/internal/quarantine/detector.go
@@ -36,7 +36,7 @@
 	// EngineUnknown means that the probe was not answered.
 	EngineUnknown Evidence = iota
 	// EngineListening means that the engine is running, so the connection broke for another reason.
-	EngineListens
+	EngineListening
 	// EngineExited means that the engine process exited while it ran the request, and possibly others.
 	EngineExited
 )
--- a/internal/quarantine/detector_test.go
+++ b/internal/quarantine/detector_test.go
@@ -39,9 +39,9 @@
 			Logger:  log.NewLogfmtLogger(&lines),
 		})
 		So(detector.Broke("r1", fingerprint, engine, neverCalled(t)), ShouldEqual, quarantine.EngineExited)
-		found = quarantine.EngineListens
-		So(detector.Broke("r2", fingerprint, engine, neverCalled(t)), ShouldEqual, quarantine.EngineListens)
-		So(observed, ShouldResemble, []quarantine.Evidence{quarantine.EngineExited, quarantine.EngineListens})
+		found = quarantine.EngineListening
+		So(detector.Broke("r2", fingerprint, engine, neverCalled(t)), ShouldEqual, quarantine.EngineListening)
+		So(observed, ShouldResemble, []quarantine.Evidence{quarantine.EngineExited, quarantine.EngineListening})
 		So(lines.String(), ShouldContainSubstring, `request=r1 fingerprint=`+fingerprint.Short()+` engine=e evidence="engine ended"`)
 		So(lines.String(), ShouldContainSubstring, `request=r2 fingerprint=`+fingerprint.Short()+` engine=e evidence="engine listens"`)
 	})
