--- a/internal/quarantine/detector.go
+++ b/internal/quarantine/detector.go
@@ -67,7 +67,7 @@
 // CheckEngine probes the engine of an attempt whose connection broke without a local cause; the connection alone may have been reset in
 // transit. Concurrent calls for one engine share a probe. If the probe is not answered, it is repeated in the background, and onExited is
 // called if the engine turns out to have exited.
-func (d *Detector) Broke(request string, fingerprint Fingerprint, engine *fleet.Engine, onExited func()) Evidence {
+func (d *Detector) CheckEngine(request string, fingerprint Fingerprint, engine *fleet.Engine, onExited func()) Evidence {
 	evidence := d.probe(engine, probeTimeout)
 	d.logEvidence(request, fingerprint, engine, evidence)
 	if evidence == EngineUnknown && d.Prober != nil {
--- a/internal/quarantine/detector_test.go
+++ b/internal/quarantine/detector_test.go
@@ -38,9 +38,9 @@
 			Observe: func(evidence quarantine.Evidence) { observed = append(observed, evidence) },
 			Logger:  log.NewLogfmtLogger(&lines),
 		})
-		So(detector.Broke("r1", fingerprint, engine, neverCalled(t)), ShouldEqual, quarantine.EngineExited)
+		So(detector.CheckEngine("r1", fingerprint, engine, neverCalled(t)), ShouldEqual, quarantine.EngineExited)
 		found = quarantine.EngineListening
-		So(detector.Broke("r2", fingerprint, engine, neverCalled(t)), ShouldEqual, quarantine.EngineListening)
+		So(detector.CheckEngine("r2", fingerprint, engine, neverCalled(t)), ShouldEqual, quarantine.EngineListening)
 		So(observed, ShouldResemble, []quarantine.Evidence{quarantine.EngineExited, quarantine.EngineListening})
 		So(lines.String(), ShouldContainSubstring, `request=r1 fingerprint=`+fingerprint.Short()+` engine=e evidence="engine ended"`)
 		So(lines.String(), ShouldContainSubstring, `request=r2 fingerprint=`+fingerprint.Short()+` engine=e evidence="engine listens"`)
@@ -53,7 +53,7 @@
 			})
 			detector := quarantine.NewDetector(quarantine.DetectorParams{Prober: unresponsive, Logger: log.NewNopLogger()})
 			started := time.Now()
-			evidence := detector.Broke("r", fingerprint, engine, neverCalled(t))
+			evidence := detector.CheckEngine("r", fingerprint, engine, neverCalled(t))
 			if evidence != quarantine.EngineUnknown || time.Since(started) > 100*time.Millisecond {
 				t.Errorf("found %v after %v", evidence, time.Since(started))
 			}
@@ -72,7 +72,7 @@
 				return quarantine.EngineExited
 			})
 			detector := quarantine.NewDetector(quarantine.DetectorParams{Prober: late, Logger: log.NewNopLogger()})
-			evidence := detector.Broke("r", fingerprint, engine, func() { reported.Add(1) })
+			evidence := detector.CheckEngine("r", fingerprint, engine, func() { reported.Add(1) })
 			time.Sleep(5 * time.Second)
 			if evidence != quarantine.EngineUnknown || reported.Load() != 1 || probes.Load() != 3 {
 				t.Errorf("found %v, reported %d times after %d probes", evidence, reported.Load(), probes.Load())
@@ -90,7 +90,7 @@
 			detector := quarantine.NewDetector(quarantine.DetectorParams{Prober: slow, Logger: log.NewNopLogger()})
 			var attempts sync.WaitGroup
 			for range 6 {
-				attempts.Go(func() { detector.Broke("r", fingerprint, engine, neverCalled(t)) })
+				attempts.Go(func() { detector.CheckEngine("r", fingerprint, engine, neverCalled(t)) })
 			}
 			attempts.Wait()
 			if probes.Load() != 1 {
--- a/internal/quarantine/guard.go
+++ b/internal/quarantine/guard.go
@@ -114,7 +114,7 @@
 		return true
 	}
 	recordCrash := func() State { return g.recordCrash(request, fingerprint, engine) }
-	if g.Detector.Broke(request, fingerprint, engine, func() { recordCrash() }) != EngineExited {
+	if g.Detector.CheckEngine(request, fingerprint, engine, func() { recordCrash() }) != EngineExited {
 		return true
 	}
 	return recordCrash() < Isolated
