--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -42,7 +42,7 @@
 	case errors.Is(err, io.EOF):
 		j.Guard.Completed(j.request.ID, j.fingerprint)
 	case ctx.Err() == nil:
-		j.Guard.Broke(j.request.ID, j.fingerprint(), engine)
+		j.Guard.ConnectionLost(j.request.ID, j.fingerprint(), engine)
 	}
 }
 
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -108,7 +108,7 @@
 	j.countSend()
 	// A lost response says nothing about the service's capacity.
 	j.waiting.end(j.service, nil)
-	if attempt.broke && !j.Guard.Broke(j.request.ID, j.fingerprint(), engine) {
+	if attempt.broke && !j.Guard.ConnectionLost(j.request.ID, j.fingerprint(), engine) {
 		// Failover would take a request that crashes engines to the next engine.
 		j.noFailover = true
 	}
--- a/internal/itemwork/executor.go
+++ b/internal/itemwork/executor.go
@@ -147,7 +147,7 @@
 	case verdict == VerdictWhole || verdict == VerdictImpossible:
 		e.Guard.Completed(assignment.Item, assignment.Fingerprint)
 	case errors.Is(err, forward.ErrConnectionBroken) && ctx.Err() == nil:
-		e.Guard.Broke(assignment.Item, assignment.Fingerprint(), assignment.engine())
+		e.Guard.ConnectionLost(assignment.Item, assignment.Fingerprint(), assignment.engine())
 	}
 }
 
--- a/internal/quarantine/guard.go
+++ b/internal/quarantine/guard.go
@@ -109,7 +109,7 @@
 
 // ConnectionLost handles a connection that broke during an attempt without a local cause. It reports whether the request may be sent to
 // another engine.
-func (g *Guard) Broke(request string, fingerprint Fingerprint, engine *fleet.Engine) (retry bool) {
+func (g *Guard) ConnectionLost(request string, fingerprint Fingerprint, engine *fleet.Engine) (retry bool) {
 	if g == nil {
 		return true
 	}
