--- a/internal/batchrun/quarantine.go
+++ b/internal/batchrun/quarantine.go
@@ -58,7 +58,7 @@
 
 // requestTrial asks the guard whether a held item may run once.
 func (r *Runner) requestTrial(term context.Context, it *item) {
-	reply, err := r.Guard.Ask(term, r.Guard.Table.Record(it.fingerprint()))
+	reply, err := r.Guard.RequestTrial(term, r.Guard.Table.Record(it.fingerprint()))
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	it.trial = trialNone
--- a/internal/fleetnode/quarantine.go
+++ b/internal/fleetnode/quarantine.go
@@ -42,7 +42,7 @@
 		Store:  store,
 		Logger: telemetry.For(logger, telemetry.PartQuarantine),
 	})
-	guard.Ask = func(ctx context.Context, known quarantine.Record) (quarantine.TrialReply, error) {
+	guard.RequestTrial = func(ctx context.Context, known quarantine.Record) (quarantine.TrialReply, error) {
 		return keeper.TryKnown(ctx, known), nil
 	}
 	return keeper
@@ -51,7 +51,7 @@
 // shareQuarantine tells the coordinating process what this gateway finds out, and has the gateway's guard ask it for trials.
 func shareQuarantine(hooks fx.Lifecycle, group *tasks, table *quarantine.Table, guard *quarantine.Guard, calls *rpc.Client,
 	watcher *election.Watcher, logger log.Logger) {
-	guard.Ask = func(ctx context.Context, known quarantine.Record) (quarantine.TrialReply, error) {
+	guard.RequestTrial = func(ctx context.Context, known quarantine.Record) (quarantine.TrialReply, error) {
 		address := watcher.Holder()
 		if address == "" {
 			return quarantine.TrialReply{}, nil
--- a/internal/forward/crashing_test.go
+++ b/internal/forward/crashing_test.go
@@ -211,10 +211,10 @@
 		table := quarantine.NewTable(time.Now)
 		if mode != guardNone {
 			forwarder.Guard = quarantine.NewGuard(quarantine.GuardParams{
-				Table:    table,
-				Detector: quarantine.NewDetector(quarantine.DetectorParams{Prober: pool, Logger: log.NewNopLogger()}),
-				Ask:      grantFrom(table),
-				Logger:   log.NewNopLogger(),
+				Table:        table,
+				Detector:     quarantine.NewDetector(quarantine.DetectorParams{Prober: pool, Logger: log.NewNopLogger()}),
+				RequestTrial: grantFrom(table),
+				Logger:       log.NewNopLogger(),
 			})
 		}
 		gateways, tables = append(gateways, forwarder), append(tables, table)
--- a/internal/quarantine/guard.go
+++ b/internal/quarantine/guard.go
@@ -32,7 +32,7 @@
 	Table    *Table
 	Detector *Detector
 	// RequestTrial asks the coordinator for a trial run of the request with this record.
-	Ask func(ctx context.Context, known Record) (TrialReply, error)
+	RequestTrial func(ctx context.Context, known Record) (TrialReply, error)
 	// Observe receives each decision for metrics; may be nil.
 	Observe func(decision Decision)
 	Logger  log.Logger
@@ -100,7 +100,7 @@
 func (g *Guard) requestTrial(ctx context.Context, fingerprint Fingerprint) (granted bool, wait time.Duration, err error) {
 	ctx, cancel := context.WithTimeout(ctx, trialRequestTimeout)
 	defer cancel()
-	reply, err := g.Ask(ctx, g.Table.Record(fingerprint))
+	reply, err := g.RequestTrial(ctx, g.Table.Record(fingerprint))
 	if err != nil || !reply.Leading {
 		return false, unavailableRetryAfter, err
 	}
