--- a/internal/fleetnode/quarantine.go
+++ b/internal/fleetnode/quarantine.go
@@ -56,7 +56,7 @@
 		if address == "" {
 			return quarantine.TrialReply{}, nil
 		}
-		return quarantine.AskTrial(ctx, calls, address, quarantine.TrialRequest{Known: known})
+		return quarantine.RequestTrial(ctx, calls, address, quarantine.TrialRequest{Known: known})
 	}
 	teller := quarantine.NewTeller(quarantine.TellerParams{
 		Table:       table,
--- a/internal/quarantine/calls.go
+++ b/internal/quarantine/calls.go
@@ -49,6 +49,6 @@
 }
 
 // RequestTrial requests a trial from the process at an address.
-func AskTrial(ctx context.Context, calls *rpc.Client, address string, request TrialRequest) (TrialReply, error) {
+func RequestTrial(ctx context.Context, calls *rpc.Client, address string, request TrialRequest) (TrialReply, error) {
 	return rpc.Call[TrialRequest, TrialReply](ctx, calls, address, request)
 }
