--- a/internal/fleetnode/quarantine.go
+++ b/internal/fleetnode/quarantine.go
@@ -62,7 +62,7 @@
 		Table:       table,
 		Coordinator: watcher.Term,
 		Send: func(ctx context.Context, address string, request quarantine.TellRequest) (quarantine.TellReply, error) {
-			return quarantine.Tell(ctx, calls, address, request)
+			return quarantine.Report(ctx, calls, address, request)
 		},
 		Logger: telemetry.For(logger, telemetry.PartQuarantine),
 	})
--- a/internal/quarantine/calls.go
+++ b/internal/quarantine/calls.go
@@ -44,7 +44,7 @@
 }
 
 // Report sends records to the process at an address.
-func Tell(ctx context.Context, calls *rpc.Client, address string, request TellRequest) (TellReply, error) {
+func Report(ctx context.Context, calls *rpc.Client, address string, request TellRequest) (TellReply, error) {
 	return rpc.Call[TellRequest, TellReply](ctx, calls, address, request)
 }
 
