--- a/internal/fleetnode/quarantine.go
+++ b/internal/fleetnode/quarantine.go
@@ -43,7 +43,7 @@
 		Logger: telemetry.For(logger, telemetry.PartQuarantine),
 	})
 	guard.RequestTrial = func(ctx context.Context, known quarantine.Record) (quarantine.TrialReply, error) {
-		return keeper.TryKnown(ctx, known), nil
+		return keeper.HandleTrial(ctx, known), nil
 	}
 	return keeper
 }
--- a/internal/quarantine/calls.go
+++ b/internal/quarantine/calls.go
@@ -39,7 +39,7 @@
 		return keeper.Receive(request), nil
 	})
 	rpc.Handle(server, func(ctx context.Context, _ rpc.Peer, request TrialRequest) (TrialReply, error) {
-		return keeper.TryKnown(ctx, request.Known), nil
+		return keeper.HandleTrial(ctx, request.Known), nil
 	})
 }
 
--- a/internal/quarantine/coordinator.go
+++ b/internal/quarantine/coordinator.go
@@ -170,7 +170,7 @@
 }
 
 // HandleTrial merges the caller's record, which may be newer, and then calls GrantTrial.
-func (k *Keeper) TryKnown(ctx context.Context, known Record) TrialReply {
+func (k *Keeper) HandleTrial(ctx context.Context, known Record) TrialReply {
 	k.Table.Merge([]Record{known})
 	return k.Try(ctx, known.Fingerprint)
 }
--- a/internal/quarantine/coordinator_test.go
+++ b/internal/quarantine/coordinator_test.go
@@ -84,7 +84,7 @@
 			time.Sleep(3 * time.Second)
 			granted := 0
 			for range 7 {
-				if leader.TryKnown(t.Context(), leader.Table.Record(bad)).Granted {
+				if leader.HandleTrial(t.Context(), leader.Table.Record(bad)).Granted {
 					granted++
 				}
 			}
