--- a/internal/quarantine/coordinator.go
+++ b/internal/quarantine/coordinator.go
@@ -172,11 +172,11 @@
 // HandleTrial merges the caller's record, which may be newer, and then calls GrantTrial.
 func (k *Keeper) HandleTrial(ctx context.Context, known Record) TrialReply {
 	k.Table.Merge([]Record{known})
-	return k.Try(ctx, known.Fingerprint)
+	return k.GrantTrial(ctx, known.Fingerprint)
 }
 
 // GrantTrial decides whether a held request may run once.
-func (k *Keeper) Try(ctx context.Context, fingerprint Fingerprint) TrialReply {
+func (k *Keeper) GrantTrial(ctx context.Context, fingerprint Fingerprint) TrialReply {
 	if !k.canGrant() {
 		return TrialReply{}
 	}
--- a/internal/quarantine/coordinator_test.go
+++ b/internal/quarantine/coordinator_test.go
@@ -63,7 +63,7 @@
 			first := lead(store.Client())
 			first.hold(bad)
 			time.Sleep(3 * time.Second)
-			if reply := first.Try(t.Context(), bad); !reply.Granted {
+			if reply := first.GrantTrial(t.Context(), bad); !reply.Granted {
 				t.Errorf("no trial after 3 s: %+v", reply)
 			}
 			first.end()
@@ -100,14 +100,14 @@
 			leader.hold(bad)
 			leader.hold(other)
 			time.Sleep(3 * time.Second)
-			if !leader.Try(t.Context(), bad).Granted {
+			if !leader.GrantTrial(t.Context(), bad).Granted {
 				t.Error("no trial for the first request")
 			}
-			if reply := leader.Try(t.Context(), other); reply.Granted || reply.Wait <= 0 {
+			if reply := leader.GrantTrial(t.Context(), other); reply.Granted || reply.Wait <= 0 {
 				t.Errorf("trial granted while the first was running: %+v", reply)
 			}
 			leader.Table.RecordCrash(bad, "engine-3")
-			if !leader.Try(t.Context(), other).Granted {
+			if !leader.GrantTrial(t.Context(), other).Granted {
 				t.Error("no trial after the first had its outcome")
 			}
 		})
@@ -118,7 +118,7 @@
 			defer leader.end()
 			leader.hold(bad)
 			time.Sleep(3 * time.Second)
-			if leader.Try(t.Context(), bad).Granted {
+			if leader.GrantTrial(t.Context(), bad).Granted {
 				t.Error("granted")
 			}
 			if record := leader.Table.Record(bad); record.Trials != 0 {
@@ -132,7 +132,7 @@
 			leader.hold(bad)
 			time.Sleep(3 * time.Second)
 			leader.end()
-			if reply := leader.Try(t.Context(), bad); reply.Granted || reply.Leading {
+			if reply := leader.GrantTrial(t.Context(), bad); reply.Granted || reply.Leading {
 				t.Errorf("%+v", reply)
 			}
 		})
@@ -149,7 +149,7 @@
 			time.Sleep(2 * time.Second)
 			granted := 0
 			for _, leader := range []*term{first, second, first, second} {
-				if leader.Try(t.Context(), bad).Granted {
+				if leader.GrantTrial(t.Context(), bad).Granted {
 					granted++
 				}
 			}
