--- a/internal/quarantine/coordinator.go
+++ b/internal/quarantine/coordinator.go
@@ -37,7 +37,7 @@
 )
 
 // CoordinatorParams configures a Coordinator.
-type Coordinator struct {
+type CoordinatorParams struct {
 	Table *Table
 	Store metastore.Client
 	// Leading reports whether the process is the coordinator.
@@ -48,7 +48,7 @@
 // Coordinator merges the records reported by other processes, grants trials, and persists held requests in the store. A trial is written
 // there before it is granted, with a conditional write: of two processes that both believe that they lead, only one can grant it.
 type Keeper struct {
-	Coordinator
+	CoordinatorParams
 	// writer serializes writers; it also guards cell, written and trial.
 	writer chan struct{}
 	// cell is the stored object, and written its content while that is known.
@@ -78,9 +78,9 @@
 }
 
 // NewCoordinator returns a Coordinator that grants no trials until Lead.
-func NewKeeper(params Coordinator) *Keeper {
+func NewKeeper(params CoordinatorParams) *Keeper {
 	cell := metastore.NewCell(params.Store, KindHeld, heldName, storeTimeout)
-	return &Keeper{Coordinator: params, writer: make(chan struct{}, 1), cell: cell}
+	return &Keeper{CoordinatorParams: params, writer: make(chan struct{}, 1), cell: cell}
 }
 
 // Receive merges the records reported by a process.
