--- a/internal/fleetnode/coordinator.go
+++ b/internal/fleetnode/coordinator.go
@@ -110,7 +110,7 @@
 	Leaving   *decommission.Manager
 	Clock     *fleettime.Consensus
 	Duties    *duties
-	Held      *quarantine.Keeper
+	Held      *quarantine.Coordinator
 	Zones     *zonestatus.Status
 	Warmth    *coldstart.Tracker
 	Grants    *coldstart.Limiter
--- a/internal/quarantine/calls.go
+++ b/internal/quarantine/calls.go
@@ -34,7 +34,7 @@
 }
 
 // Register registers the coordinator's rpc handlers with a server.
-func Register(server *rpc.Server, keeper *Keeper) {
+func Register(server *rpc.Server, keeper *Coordinator) {
 	rpc.Handle(server, func(_ context.Context, _ rpc.Peer, request TellRequest) (TellReply, error) {
 		return keeper.Receive(request), nil
 	})
--- a/internal/quarantine/coordinator.go
+++ b/internal/quarantine/coordinator.go
@@ -47,7 +47,7 @@
 
 // Coordinator merges the records reported by other processes, grants trials, and persists held requests in the store. A trial is written
 // there before it is granted, with a conditional write: of two processes that both believe that they lead, only one can grant it.
-type Keeper struct {
+type Coordinator struct {
 	CoordinatorParams
 	// writer serializes writers; it also guards cell, written and trial.
 	writer chan struct{}
@@ -78,19 +78,19 @@
 }
 
 // NewCoordinator returns a Coordinator that grants no trials until Lead.
-func NewKeeper(params CoordinatorParams) *Keeper {
+func NewKeeper(params CoordinatorParams) *Coordinator {
 	cell := metastore.NewCell(params.Store, KindHeld, heldName, storeTimeout)
-	return &Keeper{CoordinatorParams: params, writer: make(chan struct{}, 1), cell: cell}
+	return &Coordinator{CoordinatorParams: params, writer: make(chan struct{}, 1), cell: cell}
 }
 
 // Receive merges the records reported by a process.
-func (k *Keeper) Receive(request TellRequest) TellReply {
+func (k *Coordinator) Receive(request TellRequest) TellReply {
 	k.Table.Merge(request.Records)
 	return TellReply{Leading: k.Leading()}
 }
 
 // Lead loads and persists held requests until ctx ends, which is the end of the term.
-func (k *Keeper) Lead(ctx context.Context) {
+func (k *Coordinator) Lead(ctx context.Context) {
 	defer k.endTerm()
 	k.loadStored(ctx)
 	for ctx.Err() == nil {
@@ -109,7 +109,7 @@
 }
 
 // loadStored merges the records of earlier terms, retrying until the store answers.
-func (k *Keeper) loadStored(ctx context.Context) {
+func (k *Coordinator) loadStored(ctx context.Context) {
 	for ctx.Err() == nil {
 		err := k.asWriter(ctx, k.ensureLoaded)
 		if err == nil {
@@ -122,27 +122,27 @@
 }
 
 // endTerm stops granting trials and discards the cached store content, so that the next term reads it again.
-func (k *Keeper) endTerm() {
+func (k *Coordinator) endTerm() {
 	k.setReady(false)
 	k.writer <- struct{}{}
 	k.cell.Forget()
 	<-k.writer
 }
 
-func (k *Keeper) setReady(ready bool) {
+func (k *Coordinator) setReady(ready bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.ready = ready
 }
 
-func (k *Keeper) canGrant() bool {
+func (k *Coordinator) canGrant() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.ready && k.Leading()
 }
 
 // asWriter calls do while no other writer is active.
-func (k *Keeper) asWriter(ctx context.Context, do func(ctx context.Context) error) error {
+func (k *Coordinator) asWriter(ctx context.Context, do func(ctx context.Context) error) error {
 	select {
 	case k.writer <- struct{}{}:
 	case <-ctx.Done():
@@ -160,7 +160,7 @@
 
 // runningTrialWait returns how long the next trial has to wait for the outcome of the last one; zero if that is known. Trials run one at a
 // time, since of two concurrent ones each would be charged with a crash that the other caused. The caller must be the writer.
-func (k *Keeper) runningTrialWait() time.Duration {
+func (k *Coordinator) runningTrialWait() time.Duration {
 	left := trialTimeout - k.Table.now().Sub(k.trial.grantedAt)
 	current := k.Table.Record(k.trial.record.Fingerprint)
 	if left <= 0 || current.Epoch != k.trial.record.Epoch || len(current.Engines) != len(k.trial.record.Engines) {
@@ -170,13 +170,13 @@
 }
 
 // HandleTrial merges the caller's record, which may be newer, and then calls GrantTrial.
-func (k *Keeper) HandleTrial(ctx context.Context, known Record) TrialReply {
+func (k *Coordinator) HandleTrial(ctx context.Context, known Record) TrialReply {
 	k.Table.Merge([]Record{known})
 	return k.GrantTrial(ctx, known.Fingerprint)
 }
 
 // GrantTrial decides whether a held request may run once.
-func (k *Keeper) GrantTrial(ctx context.Context, fingerprint Fingerprint) TrialReply {
+func (k *Coordinator) GrantTrial(ctx context.Context, fingerprint Fingerprint) TrialReply {
 	if !k.canGrant() {
 		return TrialReply{}
 	}
@@ -211,7 +211,7 @@
 }
 
 // withTrial returns the held records with one more trial of a request.
-func (k *Keeper) withTrial(fingerprint Fingerprint) []storedRecord {
+func (k *Coordinator) withTrial(fingerprint Fingerprint) []storedRecord {
 	records := k.heldRecords()
 	for i := range records {
 		if records[i].Fingerprint == fingerprint.String() {
@@ -223,7 +223,7 @@
 }
 
 // heldRecords returns the held records in stored form, ordered by fingerprint; beyond maxStored the least recently updated are left out.
-func (k *Keeper) heldRecords() []storedRecord {
+func (k *Coordinator) heldRecords() []storedRecord {
 	records := slices.DeleteFunc(k.Table.List(), func(record Record) bool { return !record.held() })
 	slices.SortFunc(records, func(a, b Record) int { return int(a.Idle - b.Idle) })
 	records = records[:min(len(records), maxStored)]
@@ -242,7 +242,7 @@
 }
 
 // persist writes the held records if they differ from the store's.
-func (k *Keeper) persist(ctx context.Context) error {
+func (k *Coordinator) persist(ctx context.Context) error {
 	return k.asWriter(ctx, func(ctx context.Context) error {
 		if err := k.ensureLoaded(ctx); err != nil {
 			return err
@@ -261,7 +261,7 @@
 }
 
 // ensureLoaded merges the stored records unless the store's content is known. The caller must be the writer.
-func (k *Keeper) ensureLoaded(ctx context.Context) error {
+func (k *Coordinator) ensureLoaded(ctx context.Context) error {
 	if k.cell.Known() {
 		return nil
 	}
@@ -304,7 +304,7 @@
 
 // write stores records on the condition that the store is unchanged since the last read; after an error it must be read again. The caller
 // must be the writer.
-func (k *Keeper) write(ctx context.Context, records []storedRecord) error {
+func (k *Coordinator) write(ctx context.Context, records []storedRecord) error {
 	content, err := json.Marshal(storedSpec{Records: records})
 	if err != nil {
 		return err
--- a/internal/quarantine/coordinator_test.go
+++ b/internal/quarantine/coordinator_test.go
@@ -19,7 +19,7 @@
 
 // term is a coordinator that leads until end is called.
 type term struct {
-	*quarantine.Keeper
+	*quarantine.Coordinator
 	end func()
 }
 
@@ -33,7 +33,7 @@
 	})
 	var leading sync.WaitGroup
 	leading.Go(func() { keeper.Lead(ctx) })
-	return &term{Keeper: keeper, end: func() { cancel(); leading.Wait() }}
+	return &term{Coordinator: keeper, end: func() { cancel(); leading.Wait() }}
 }
 
 func (s *term) hold(of quarantine.Fingerprint) {
