--- a/internal/fleetnode/quarantine.go
+++ b/internal/fleetnode/quarantine.go
@@ -37,7 +37,7 @@
 
 // newKeeper returns what answers for the table of this process while it coordinates, and has its own guard ask that.
 func newKeeper(table *quarantine.Table, guard *quarantine.Guard, store metastore.Client, logger log.Logger) *quarantine.Coordinator {
-	keeper := quarantine.NewKeeper(quarantine.CoordinatorParams{
+	keeper := quarantine.NewCoordinator(quarantine.CoordinatorParams{
 		Table:  table,
 		Store:  store,
 		Logger: telemetry.For(logger, telemetry.PartQuarantine),
--- a/internal/quarantine/coordinator.go
+++ b/internal/quarantine/coordinator.go
@@ -78,7 +78,7 @@
 }
 
 // NewCoordinator returns a Coordinator that grants no trials until Lead.
-func NewKeeper(params CoordinatorParams) *Coordinator {
+func NewCoordinator(params CoordinatorParams) *Coordinator {
 	cell := metastore.NewCell(params.Store, KindHeld, heldName, storeTimeout)
 	return &Coordinator{CoordinatorParams: params, writer: make(chan struct{}, 1), cell: cell}
 }
--- a/internal/quarantine/coordinator_test.go
+++ b/internal/quarantine/coordinator_test.go
@@ -25,7 +25,7 @@
 
 func lead(store metastore.Client) *term {
 	ctx, cancel := context.WithCancel(context.Background())
-	keeper := quarantine.NewKeeper(quarantine.CoordinatorParams{
+	keeper := quarantine.NewCoordinator(quarantine.CoordinatorParams{
 		Table:   quarantine.NewTable(time.Now),
 		Store:   store,
 		Leading: func() bool { return ctx.Err() == nil },
