--- a/internal/quarantine/reporter.go
+++ b/internal/quarantine/reporter.go
@@ -32,7 +32,7 @@
 }
 
 // Reporter sends the records that this process changes to the coordinator, and all its records to each new one.
-type Teller struct {
+type Reporter struct {
 	TellerParams
 	// reported is the term that records were last sent to, and cursor how far.
 	reported election.Term
@@ -42,10 +42,10 @@
 }
 
 // NewReporter returns a Reporter. Run starts it.
-func NewTeller(params TellerParams) *Teller { return &Teller{TellerParams: params} }
+func NewTeller(params TellerParams) *Reporter { return &Reporter{TellerParams: params} }
 
 // Run sends records until ctx ends.
-func (t *Teller) Run(ctx context.Context) {
+func (t *Reporter) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		term := t.Coordinator()
 		if term != t.reported {
@@ -69,7 +69,7 @@
 // errNotLeading reports a receiver that is not the coordinator.
 var errNotLeading = errors.New("quarantine: receiver is not the coordinator")
 
-func (t *Teller) send(ctx context.Context, term election.Term, records []Record) error {
+func (t *Reporter) send(ctx context.Context, term election.Term, records []Record) error {
 	if term.Address == "" {
 		return errNotLeading
 	}
@@ -82,7 +82,7 @@
 	return err
 }
 
-func (t *Teller) logFailure(term election.Term, records int, err error) {
+func (t *Reporter) logFailure(term election.Term, records int, err error) {
 	if t.failing {
 		return
 	}
