--- a/internal/quarantine/reporter.go
+++ b/internal/quarantine/reporter.go
@@ -22,7 +22,7 @@
 )
 
 // ReporterParams configures a Reporter.
-type TellerParams struct {
+type ReporterParams struct {
 	Table *Table
 	// Coordinator returns the current term; its address is empty if no coordinator is known.
 	Coordinator func() election.Term
@@ -33,7 +33,7 @@
 
 // Reporter sends the records that this process changes to the coordinator, and all its records to each new one.
 type Reporter struct {
-	TellerParams
+	ReporterParams
 	// reported is the term that records were last sent to, and cursor how far.
 	reported election.Term
 	cursor   Cursor
@@ -42,7 +42,7 @@
 }
 
 // NewReporter returns a Reporter. Run starts it.
-func NewTeller(params TellerParams) *Reporter { return &Reporter{TellerParams: params} }
+func NewTeller(params ReporterParams) *Reporter { return &Reporter{ReporterParams: params} }
 
 // Run sends records until ctx ends.
 func (t *Reporter) Run(ctx context.Context) {
