--- a/internal/fleetnode/quarantine.go
+++ b/internal/fleetnode/quarantine.go
@@ -58,7 +58,7 @@
 		}
 		return quarantine.RequestTrial(ctx, calls, address, quarantine.TrialRequest{Known: known})
 	}
-	teller := quarantine.NewTeller(quarantine.ReporterParams{
+	teller := quarantine.NewReporter(quarantine.ReporterParams{
 		Table:       table,
 		Coordinator: watcher.Term,
 		Send: func(ctx context.Context, address string, request quarantine.TellRequest) (quarantine.TellReply, error) {
--- a/internal/quarantine/coordinator_test.go
+++ b/internal/quarantine/coordinator_test.go
@@ -167,7 +167,7 @@
 		sent := make(map[election.Term][]quarantine.Record)
 		attempts := 0
 		table := quarantine.NewTable(time.Now)
-		teller := quarantine.NewTeller(quarantine.ReporterParams{
+		teller := quarantine.NewReporter(quarantine.ReporterParams{
 			Table: table,
 			Coordinator: func() election.Term {
 				mu.Lock()
--- a/internal/quarantine/reporter.go
+++ b/internal/quarantine/reporter.go
@@ -42,7 +42,7 @@
 }
 
 // NewReporter returns a Reporter. Run starts it.
-func NewTeller(params ReporterParams) *Reporter { return &Reporter{ReporterParams: params} }
+func NewReporter(params ReporterParams) *Reporter { return &Reporter{ReporterParams: params} }
 
 // Run sends records until ctx ends.
 func (t *Reporter) Run(ctx context.Context) {
