--- a/internal/fleetnode/coordinator.go
+++ b/internal/fleetnode/coordinator.go
@@ -80,7 +80,7 @@
 		Store:       store,
 		Holder:      config.Node.Name,
 		LeaseLength: config.Timing.LeaseLength,
-		Loaded:      runner.RecordVersion,
+		OnVersion:   runner.RecordVersion,
 		Loading:     runner.SetLoading,
 		Pause:       runner.EventInterval,
 		Demands:     runner.Demands,
--- a/internal/weightorder/evacuated_test.go
+++ b/internal/weightorder/evacuated_test.go
@@ -83,7 +83,7 @@
 	})
 	Convey("A zone evacuated between plan and order receives no order", t, func() {
 		m, state := newZonedManager(2)
-		m.Loaded = func(string, string, int64) {}
+		m.OnVersion = func(string, string, int64) {}
 		m.SetNamed(map[string]int64{"a": 2})
 		engines := &refusingEngines{onReport: func() { evacuate(state, 1, "zone-0") }}
 		m.Engines = engines
--- a/internal/weightorder/manager.go
+++ b/internal/weightorder/manager.go
@@ -114,7 +114,7 @@
 	// LeaseLength is the least time between the orders of two coordinators.
 	LeaseLength time.Duration
 	// OnVersion is called with each version that an engine reports.
-	Loaded func(engineID, model string, version int64)
+	OnVersion func(engineID, model string, version int64)
 	// Demands returns the work for each model; may be nil.
 	Demands func() map[string]Demand
 	// EventInterval returns the expected interval between two events of an engine's stream; may be nil.
@@ -363,7 +363,7 @@
 	m.reported[target.engine.ID] = report.Versions
 	m.mu.Unlock()
 	for model, version := range report.Versions {
-		m.Loaded(target.engine.ID, model, version)
+		m.OnVersion(target.engine.ID, model, version)
 	}
 	return report, nil
 }
--- a/internal/weightorder/manager_test.go
+++ b/internal/weightorder/manager_test.go
@@ -140,7 +140,7 @@
 		Store:       f.client,
 		Holder:      "node-1",
 		LeaseLength: leaseLength,
-		Loaded:      func(string, string, int64) {},
+		OnVersion:   func(string, string, int64) {},
 		Logger:      log.NewNopLogger(),
 	})
 	return f
