--- a/internal/fleetnode/coordinator.go
+++ b/internal/fleetnode/coordinator.go
@@ -75,17 +75,17 @@
 func newOrders(config settings.Fleet, state *fleet.State, engines *platform.Engines, store metastore.Client, runner *batchrun.Runner,
 	observed *metrics, logger log.Logger) *weightorder.Manager {
 	return weightorder.New(weightorder.Params{
-		State:       state,
-		Engines:     engines,
-		Store:       store,
-		Holder:      config.Node.Name,
-		LeaseLength: config.Timing.LeaseLength,
-		OnVersion:   runner.RecordVersion,
-		Loading:     runner.SetLoading,
-		Pause:       runner.EventInterval,
-		Demands:     runner.Demands,
-		Moved:       observed.engineMoved,
-		Logger:      telemetry.For(logger, telemetry.PartOrders),
+		State:         state,
+		Engines:       engines,
+		Store:         store,
+		Holder:        config.Node.Name,
+		LeaseLength:   config.Timing.LeaseLength,
+		OnVersion:     runner.RecordVersion,
+		Loading:       runner.SetLoading,
+		EventInterval: runner.EventInterval,
+		Demands:       runner.Demands,
+		Moved:         observed.engineMoved,
+		Logger:        telemetry.For(logger, telemetry.PartOrders),
 	})
 }
 
--- a/internal/weightorder/manager.go
+++ b/internal/weightorder/manager.go
@@ -118,7 +118,7 @@
 	// Demands returns the work for each model; may be nil.
 	Demands func() map[string]Demand
 	// EventInterval returns the expected interval between two events of an engine's stream; may be nil.
-	Pause func(engineID string) time.Duration
+	EventInterval func(engineID string) time.Duration
 	// OnLoading is called when an engine starts to load, during which it accepts no work, and when that ends; may be nil.
 	Loading func(engineID string, loading bool)
 	// OnMoved is called at the end of each move; may be nil.
--- a/internal/weightorder/plan.go
+++ b/internal/weightorder/plan.go
@@ -117,10 +117,10 @@
 	if x, y := m.lag(a.engine, a.model), m.lag(b.engine, b.model); x != y {
 		return cmp.Compare(y, x)
 	}
-	if m.Pause == nil {
+	if m.EventInterval == nil {
 		return 0
 	}
-	return cmp.Compare(m.Pause(a.engine.ID), m.Pause(b.engine.ID))
+	return cmp.Compare(m.EventInterval(a.engine.ID), m.EventInterval(b.engine.ID))
 }
 
 // tooOldForWaiting reports whether items wait for the model and the engine's version is too old for one of them.
--- a/internal/weightorder/plan_test.go
+++ b/internal/weightorder/plan_test.go
@@ -127,7 +127,7 @@
 		}
 		m.reported["engine-004"] = map[string]int64{"a": 2}
 		m.SetNamed(map[string]int64{"a": 4})
-		m.Pause = func(id string) time.Duration {
+		m.EventInterval = func(id string) time.Duration {
 			if id == "engine-007" {
 				return 30 * time.Millisecond
 			}
