--- a/internal/fleetnode/coordinator.go
+++ b/internal/fleetnode/coordinator.go
@@ -81,7 +81,7 @@
 		Holder:        config.Node.Name,
 		LeaseLength:   config.Timing.LeaseLength,
 		OnVersion:     runner.RecordVersion,
-		Loading:       runner.SetLoading,
+		OnLoading:     runner.SetLoading,
 		EventInterval: runner.EventInterval,
 		Demands:       runner.Demands,
 		Moved:         observed.engineMoved,
--- a/internal/weightorder/manager.go
+++ b/internal/weightorder/manager.go
@@ -120,7 +120,7 @@
 	// EventInterval returns the expected interval between two events of an engine's stream; may be nil.
 	EventInterval func(engineID string) time.Duration
 	// OnLoading is called when an engine starts to load, during which it accepts no work, and when that ends; may be nil.
-	Loading func(engineID string, loading bool)
+	OnLoading func(engineID string, loading bool)
 	// OnMoved is called at the end of each move; may be nil.
 	Moved  func(err error, took time.Duration)
 	Logger log.Logger
@@ -321,9 +321,9 @@
 
 // awaitLoad waits until a loading engine reports the version. joined is true if the load had started before this move.
 func (m *Manager) awaitLoad(ctx context.Context, target move, joined bool) (err error) {
-	if m.Loading != nil {
-		m.Loading(target.engine.ID, true)
-		defer m.Loading(target.engine.ID, false)
+	if m.OnLoading != nil {
+		m.OnLoading(target.engine.ID, true)
+		defer m.OnLoading(target.engine.ID, false)
 	}
 	ordered := time.Now()
 	defer func() {
