--- a/internal/fleetnode/coordinator.go
+++ b/internal/fleetnode/coordinator.go
@@ -84,7 +84,7 @@
 		OnLoading:     runner.SetLoading,
 		EventInterval: runner.EventInterval,
 		Demands:       runner.Demands,
-		Moved:         observed.engineMoved,
+		OnMoved:       observed.engineMoved,
 		Logger:        telemetry.For(logger, telemetry.PartOrders),
 	})
 }
--- a/internal/weightorder/manager.go
+++ b/internal/weightorder/manager.go
@@ -122,8 +122,8 @@
 	// OnLoading is called when an engine starts to load, during which it accepts no work, and when that ends; may be nil.
 	OnLoading func(engineID string, loading bool)
 	// OnMoved is called at the end of each move; may be nil.
-	Moved  func(err error, took time.Duration)
-	Logger log.Logger
+	OnMoved func(err error, took time.Duration)
+	Logger  log.Logger
 }
 
 // Manager sends orders while it leads.
@@ -277,8 +277,8 @@
 func (m *Manager) move(ctx context.Context, term election.Term, target move, deadline time.Time) {
 	started := time.Now()
 	err := m.load(ctx, term, target, deadline)
-	if m.Moved != nil {
-		m.Moved(err, time.Since(started))
+	if m.OnMoved != nil {
+		m.OnMoved(err, time.Since(started))
 	}
 	level.Info(m.Logger).Log("msg", "weight load finished", "engine", target.engine.ID, "model", target.model, "version", target.version,
 		"token", term.Token, "took", time.Since(started).Round(time.Millisecond), "err", err)
