--- a/internal/fleetnode/coordinator.go
+++ b/internal/fleetnode/coordinator.go
@@ -294,7 +294,7 @@
 	var leading sync.WaitGroup
 	leading.Go(func() { followFleet(ctx, c.Settings, c.Followers, c.State, c.Metrics, c.Logger) })
 	leading.Go(func() {
-		platform.FollowVersions(ctx, c.Followers, c.Orders.SetNamed, telemetry.For(c.Logger, telemetry.PartOrders))
+		platform.FollowVersions(ctx, c.Followers, c.Orders.SetTargets, telemetry.For(c.Logger, telemetry.PartOrders))
 	})
 	leading.Go(func() { c.followHome(ctx) })
 	leading.Go(func() { c.Runner.Lead(ctx, term.Token) })
--- a/internal/weightorder/evacuated_test.go
+++ b/internal/weightorder/evacuated_test.go
@@ -55,7 +55,7 @@
 func TestEvacuatedZones(t *testing.T) {
 	Convey("Engines of an evacuated zone receive no orders, and catch up once the zone is restored", t, func() {
 		m, state := newZonedManager(10)
-		m.SetNamed(map[string]int64{"a": 2})
+		m.SetTargets(map[string]int64{"a": 2})
 		evacuate(state, 1, "zone-0")
 		So(loadAll(m), ShouldResemble, map[string]int{"a": 5})
 		for id := range m.reported {
@@ -69,12 +69,12 @@
 	Convey("No orders are sent while evacuations are unknown", t, func() {
 		m, state := newZonedManager(10)
 		state.MarkEvacuationsUnknown()
-		m.SetNamed(map[string]int64{"a": 2})
+		m.SetTargets(map[string]int64{"a": 2})
 		So(m.plan(time.Now()), ShouldBeEmpty)
 	})
 	Convey("Loads in progress in an evacuated zone count towards the concurrent loads", t, func() {
 		m, state := newZonedManager(20)
-		m.SetNamed(map[string]int64{"a": 2})
+		m.SetTargets(map[string]int64{"a": 2})
 		evacuate(state, 1, "zone-1")
 		loading := m.plan(time.Now())
 		So(loading, ShouldHaveLength, 2)
@@ -84,7 +84,7 @@
 	Convey("A zone evacuated between plan and order receives no order", t, func() {
 		m, state := newZonedManager(2)
 		m.OnVersion = func(string, string, int64) {}
-		m.SetNamed(map[string]int64{"a": 2})
+		m.SetTargets(map[string]int64{"a": 2})
 		engines := &refusingEngines{onReport: func() { evacuate(state, 1, "zone-0") }}
 		m.Engines = engines
 		engine, _ := state.View().Engines.Get("engine-000")
--- a/internal/weightorder/manager.go
+++ b/internal/weightorder/manager.go
@@ -172,7 +172,7 @@
 }
 
 // SetTargets sets the version of each model that engines are to load.
-func (m *Manager) SetNamed(named map[string]int64) {
+func (m *Manager) SetTargets(named map[string]int64) {
 	m.mu.Lock()
 	for model, version := range named {
 		if version > m.targets[model] {
--- a/internal/weightorder/manager_test.go
+++ b/internal/weightorder/manager_test.go
@@ -212,7 +212,7 @@
 
 func TestOrders(t *testing.T) {
 	runTest(t, "Every engine loads the target version once, two at a time, with runs continuing", "", false, func(f *fixture) {
-		f.manager.SetNamed(map[string]int64{model: 2})
+		f.manager.SetTargets(map[string]int64{model: 2})
 		time.Sleep(6 * time.Second)
 		So(len(f.engines.sentOrders()), ShouldEqual, engineCount)
 		So(f.engines.maxLoading, ShouldEqual, 2)
@@ -225,13 +225,13 @@
 			So(g.order.Holder, ShouldEqual, "node-1")
 		}
 		Convey("and setting the same target again sends no orders", func() {
-			f.manager.SetNamed(map[string]int64{model: 2})
+			f.manager.SetTargets(map[string]int64{model: 2})
 			time.Sleep(10 * time.Second)
 			So(len(f.engines.sentOrders()), ShouldEqual, engineCount)
 		})
 	})
 	runTest(t, "Engines wait for runs to end if a route requires texts of a single version", "", true, func(f *fixture) {
-		f.manager.SetNamed(map[string]int64{model: 2})
+		f.manager.SetTargets(map[string]int64{model: 2})
 		time.Sleep(6 * time.Second)
 		for _, g := range f.engines.sentOrders() {
 			So(g.order.Mode, ShouldEqual, weightorder.ModeWait)
@@ -239,12 +239,12 @@
 	})
 	runTest(t, "An order whose reply is lost is not sent again once it is carried out", "", false, func(f *fixture) {
 		f.engines.lostReplies = 2
-		f.manager.SetNamed(map[string]int64{model: 2})
+		f.manager.SetTargets(map[string]int64{model: 2})
 		time.Sleep(10 * time.Second)
 		So(len(f.engines.sentOrders()), ShouldEqual, engineCount)
 	})
 	runTest(t, "An engine ordered by another process receives no order for a lease length; others receive theirs at once", "node-2", false, func(f *fixture) {
-		f.manager.SetNamed(map[string]int64{model: 2})
+		f.manager.SetTargets(map[string]int64{model: 2})
 		time.Sleep(leaseLength - time.Second)
 		for _, g := range f.engines.sentOrders() {
 			So(g.engine, ShouldBeGreaterThanOrEqualTo, engineID(previouslyOrdered))
@@ -254,13 +254,13 @@
 		So(len(f.engines.sentOrders()), ShouldEqual, engineCount)
 	})
 	runTest(t, "A process restarted under the same name does not wait", "node-1", false, func(f *fixture) {
-		f.manager.SetNamed(map[string]int64{model: 2})
+		f.manager.SetTargets(map[string]int64{model: 2})
 		time.Sleep(leaseLength - 100*time.Millisecond)
 		So(len(f.engines.sentOrders()), ShouldEqual, engineCount)
 	})
 	runTest(t, "No order is sent while the store does not answer", "", false, func(f *fixture) {
 		f.storeSilent.Store(true)
-		f.manager.SetNamed(map[string]int64{model: 2})
+		f.manager.SetTargets(map[string]int64{model: 2})
 		time.Sleep(10 * time.Second)
 		So(f.engines.sentOrders(), ShouldBeEmpty)
 	})
--- a/internal/weightorder/plan_test.go
+++ b/internal/weightorder/plan_test.go
@@ -51,28 +51,28 @@
 	models := []string{"a", "b", "c"}
 	Convey("A fifth of a service's engines load at once, but at least two", t, func() {
 		large, _ := newPlanManager(35, "a")
-		large.SetNamed(map[string]int64{"a": 2})
+		large.SetTargets(map[string]int64{"a": 2})
 		So(large.plan(time.Now()), ShouldHaveLength, 7)
 		So(large.plan(time.Now()), ShouldBeEmpty)
 		small, _ := newPlanManager(8, "a")
-		small.SetNamed(map[string]int64{"a": 2})
+		small.SetTargets(map[string]int64{"a": 2})
 		So(small.plan(time.Now()), ShouldHaveLength, 2)
 	})
 	Convey("Engines are divided among several models, so that each version is loaded by its share only", t, func() {
 		m, state := newPlanManager(35, models...)
-		m.SetNamed(map[string]int64{"a": 2, "b": 2, "c": 2})
+		m.SetTargets(map[string]int64{"a": 2, "b": 2, "c": 2})
 		So(loadAll(m), ShouldResemble, map[string]int{"a": 12, "b": 12, "c": 11})
 		before := map[string]string{}
 		for id, model := range m.assigned {
 			before[id] = model
 		}
-		m.SetNamed(map[string]int64{"a": 3, "b": 3, "c": 3})
+		m.SetTargets(map[string]int64{"a": 3, "b": 3, "c": 3})
 		So(loadAll(m), ShouldResemble, map[string]int{"a": 12, "b": 12, "c": 11})
 		So(m.assigned, ShouldResemble, before)
 
 		Convey("and the shares stay even when engines are replaced", func() {
 			listEngines(state, 8, 42, models)
-			m.SetNamed(map[string]int64{"a": 4, "b": 4, "c": 4})
+			m.SetTargets(map[string]int64{"a": 4, "b": 4, "c": 4})
 			loaded := loadAll(m)
 			for _, model := range models {
 				So(loaded[model], ShouldBeBetweenOrEqual, 11, 12)
@@ -82,7 +82,7 @@
 	})
 	Convey("Too few engines to divide load every model", t, func() {
 		m, _ := newPlanManager(5, models...)
-		m.SetNamed(map[string]int64{"a": 2, "b": 2, "c": 2})
+		m.SetTargets(map[string]int64{"a": 2, "b": 2, "c": 2})
 		loaded := 0
 		for range 30 {
 			for _, move := range m.plan(time.Now()) {
@@ -98,7 +98,7 @@
 	})
 	Convey("The most outdated engine loads first", t, func() {
 		m, _ := newPlanManager(10, "a")
-		m.SetNamed(map[string]int64{"a": 4})
+		m.SetTargets(map[string]int64{"a": 4})
 		for i := range 10 {
 			m.reported[fmt.Sprintf("engine-%03d", i)] = map[string]int64{"a": 3}
 		}
@@ -115,7 +115,7 @@
 		m.Demands = func() map[string]Demand {
 			return map[string]Demand{"a": {Items: 300}, "b": {Items: 150}}
 		}
-		m.SetNamed(map[string]int64{"a": 2, "b": 2, "c": 2})
+		m.SetTargets(map[string]int64{"a": 2, "b": 2, "c": 2})
 		So(loadAll(m), ShouldResemble, map[string]int{"a": 19, "b": 10, "c": 1})
 	})
 	Convey("Engines too old for waiting items load first, then the fastest, also while items wait for them", t, func() {
@@ -126,7 +126,7 @@
 			m.reported[fmt.Sprintf("engine-%03d", i)] = map[string]int64{"a": 3}
 		}
 		m.reported["engine-004"] = map[string]int64{"a": 2}
-		m.SetNamed(map[string]int64{"a": 4})
+		m.SetTargets(map[string]int64{"a": 4})
 		m.EventInterval = func(id string) time.Duration {
 			if id == "engine-007" {
 				return 30 * time.Millisecond
@@ -144,7 +144,7 @@
 	})
 	Convey("Engines that leave do not lower the number of concurrent loads", t, func() {
 		m, state := newPlanManager(35, "a")
-		m.SetNamed(map[string]int64{"a": 2})
+		m.SetTargets(map[string]int64{"a": 2})
 		So(m.plan(time.Now()), ShouldHaveLength, 7)
 		clear(m.loading)
 		listEngines(state, 0, 20, []string{"a"})
--- a/internal/weightorder/surplus_test.go
+++ b/internal/weightorder/surplus_test.go
@@ -15,7 +15,7 @@
 		m.Demands = func() map[string]Demand {
 			return map[string]Demand{"a": {Items: 100, Open: 32}, "b": {Items: 100, Open: 80}}
 		}
-		m.SetNamed(map[string]int64{"a": 2, "b": 2})
+		m.SetTargets(map[string]int64{"a": 2, "b": 2})
 		first := loadAll(m)
 		So(first["a"], ShouldEqual, minUpToDate+20)
 		So(first["b"], ShouldEqual, minUpToDate+50)
@@ -23,7 +23,7 @@
 		for id, versions := range m.reported {
 			kept[id] = versions["a"]
 		}
-		m.SetNamed(map[string]int64{"a": 3, "b": 2})
+		m.SetTargets(map[string]int64{"a": 3, "b": 2})
 		So(loadAll(m), ShouldResemble, map[string]int{"a": minUpToDate + 20})
 		for id, versions := range m.reported {
 			if versions["a"] == 3 {
@@ -52,7 +52,7 @@
 		demands[model], named[model] = Demand{Items: 100, Open: 100}, 2
 	}
 	m.Demands = func() map[string]Demand { return demands }
-	m.SetNamed(named)
+	m.SetTargets(named)
 	for _, count := range loadAll(m) {
 		loaded += count
 	}
@@ -73,14 +73,14 @@
 	models := []string{"a", "b"}
 	m, state := newPlanManager(2000, models...)
 	m.Demands = func() map[string]Demand { return map[string]Demand{"a": {Open: 100}, "b": {Open: 100}} }
-	m.SetNamed(map[string]int64{"a": 2, "b": 2})
+	m.SetTargets(map[string]int64{"a": 2, "b": 2})
 	loadAll(m)
 	before := make(map[string]string)
 	for id, model := range m.assigned {
 		before[id] = model
 	}
 	listEngines(state, 300, 2000, models)
-	m.SetNamed(map[string]int64{"a": 3, "b": 3})
+	m.SetTargets(map[string]int64{"a": 3, "b": 3})
 	needed := m.neededEngines(state.View().Ready("pool"), "a", time.Now())
 	for model, loaded := range loadAll(m) {
 		if loaded != needed {
