--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -230,7 +230,7 @@
 
 // Wait estimates how long a new request of the class and pool would wait.
 func (c *Core) Wait(now time.Time, item scheduler.Item) time.Duration {
-	return c.queue.Wait(now, item.Interactive, item.Pool)
+	return c.queue.EstimateWait(now, item.Interactive, item.Pool)
 }
 
 // GiveBack returns a slot that was not used.
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -181,7 +181,7 @@
 func (q *Queue) Tokens() int64 { return q.tokens }
 
 // EstimateWait estimates the wait of a new request of the class and pool from the measured drain rate. It is zero without measurements.
-func (q *Queue) Wait(now time.Time, interactive bool, pool string) time.Duration {
+func (q *Queue) EstimateWait(now time.Time, interactive bool, pool string) time.Duration {
 	lane, ok := q.lanes[laneKey{interactive: interactive, pool: pool}]
 	if !ok {
 		return 0
--- a/internal/scheduler/queue_test.go
+++ b/internal/scheduler/queue_test.go
@@ -92,7 +92,7 @@
 			_, ok := takeOne(queue, now)
 			So(ok, ShouldBeTrue)
 		}
-		So(queue.Wait(now, false, ""), ShouldBeBetween, 19*time.Second, 21*time.Second)
+		So(queue.EstimateWait(now, false, ""), ShouldBeBetween, 19*time.Second, 21*time.Second)
 		late := scheduler.Item{ID: 100, Tokens: 100, Deadline: now.Add(5 * time.Second)}
 		rejection := queue.Push(now, late)
 		So(rejection.Reason, ShouldEqual, scheduler.RejectedDeadline)
