--- a/internal/dispatch/run.go
+++ b/internal/dispatch/run.go
@@ -87,7 +87,7 @@
 		PrefixKey:     r.Task.PrefixKey,
 		TieKey:        rendezvous.Hash(r.Task.RequestID),
 		Avoid:         r.Task.AvoidEngines,
-		Last:          r.last,
+		LastFailed:    r.last,
 	}
 }
 
--- a/internal/scheduler/placer.go
+++ b/internal/scheduler/placer.go
@@ -49,7 +49,7 @@
 	// Avoid names engines that must not be selected.
 	Avoid []string
 	// LastFailed names the engine that just failed this request. It is selected only if there is no other.
-	Last string
+	LastFailed string
 }
 
 // Kind is the kind of a decision.
@@ -233,7 +233,7 @@
 		if candidate == preferred {
 			score += weightAffinity
 		}
-		if request.Last != "" && candidate.name == request.Last {
+		if request.LastFailed != "" && candidate.name == request.LastFailed {
 			score -= weightLastFailed
 		}
 		if best == nil || score > bestScore || (score == bestScore && winsTie(request.TieKey, candidate, best)) {
--- a/internal/scheduler/placer_test.go
+++ b/internal/scheduler/placer_test.go
@@ -87,7 +87,7 @@
 			modify: func(r *scheduler.Request) { r.Interactive = false },
 			kind:   scheduler.Wait, reason: scheduler.FilterFull},
 		{name: "failed the request before, but is the only engine", kind: scheduler.Placed,
-			modify: func(r *scheduler.Request) { r.Last = "engine-00000" }},
+			modify: func(r *scheduler.Request) { r.LastFailed = "engine-00000" }},
 	}
 	for _, c := range cases {
 		Convey(c.name, t, func() {
@@ -153,7 +153,7 @@
 	})
 	Convey("The engine that failed the request is chosen last", t, func() {
 		retried := request
-		retried.Last = "engine-00000"
+		retried.LastFailed = "engine-00000"
 		So(place(newView(3), retried, nil).Engine, ShouldNotEqual, 0)
 	})
 }
