--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -99,13 +99,13 @@
 	c.nextID++
 	item.ID = c.nextID
 	item.Service = c.serviceTime(item.Pool, class).Predict(item.Tokens)
-	if item.Since.IsZero() {
-		item.Since = now
+	if item.ArrivedAt.IsZero() {
+		item.ArrivedAt = now
 	}
 	if rejection := c.queue.Push(now, item); rejection != nil {
 		return 0, rejected(rejection)
 	}
-	c.waiting[item.ID] = waitingTask{request: request, class: class, since: item.Since}
+	c.waiting[item.ID] = waitingTask{request: request, class: class, since: item.ArrivedAt}
 	return item.ID, nil
 }
 
--- a/internal/dispatch/run.go
+++ b/internal/dispatch/run.go
@@ -71,7 +71,7 @@
 		Rank:        r.Task.Rank,
 		Tokens:      max(r.Task.ExpectedTokens-len(r.tokens), 0),
 		Deadline:    r.Task.Deadline,
-		Since:       r.since,
+		ArrivedAt:   r.since,
 		Started:     r.unknown > 0 || len(r.tokens) > 0,
 		Readmitted:  r.admitted,
 	}
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -27,7 +27,7 @@
 	Tokens   int
 	Deadline time.Time
 	// ArrivedAt is the time of arrival, from which the wait is counted.
-	Since time.Time
+	ArrivedAt time.Time
 	// ServiceTime is the expected time from start to end; zero or less means unknown.
 	Service time.Duration
 	// Started is true for items that may have run in part. They are attempted regardless of their deadline.
--- a/internal/scheduler/wait_limit.go
+++ b/internal/scheduler/wait_limit.go
@@ -22,13 +22,13 @@
 
 // Overdue reports whether an interactive item has waited too long at now and is to be refused if the engines are full.
 func (i *Item) Overdue(now time.Time) bool {
-	return i.Interactive && !i.Started && now.Sub(i.Since) > overdueFactor*i.waitLimit()
+	return i.Interactive && !i.Started && now.Sub(i.ArrivedAt) > overdueFactor*i.waitLimit()
 }
 
 func (i *Item) waitLimit() time.Duration {
 	share := time.Duration(waitServiceFactor * float64(i.Service))
 	if i.Service <= 0 && !i.Deadline.IsZero() {
-		share = time.Duration(waitDeadlineShare * float64(i.Deadline.Sub(i.Since)))
+		share = time.Duration(waitDeadlineShare * float64(i.Deadline.Sub(i.ArrivedAt)))
 	}
 	return max(minWaitLimit, share)
 }
--- a/internal/scheduler/window_test.go
+++ b/internal/scheduler/window_test.go
@@ -75,7 +75,7 @@
 	limits := QueueLimits{Requests: 100, Tokens: 100_000}
 	item := func(id uint64, since time.Time) Item {
 		return Item{
-			ID: id, Interactive: true, Pool: "p", Caller: "c", Tokens: 10, Since: since,
+			ID: id, Interactive: true, Pool: "p", Caller: "c", Tokens: 10, ArrivedAt: since,
 			Service: 2 * time.Second, Deadline: since.Add(8 * time.Second),
 		}
 	}
