--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -98,7 +98,7 @@
 func (c *Core) Enqueue(now time.Time, item scheduler.Item, request scheduler.Request, class Class) (uint64, *Refusal) {
 	c.nextID++
 	item.ID = c.nextID
-	item.Service = c.serviceTime(item.Pool, class).Predict(item.Tokens)
+	item.ServiceTime = c.serviceTime(item.Pool, class).Predict(item.Tokens)
 	if item.ArrivedAt.IsZero() {
 		item.ArrivedAt = now
 	}
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -29,7 +29,7 @@
 	// ArrivedAt is the time of arrival, from which the wait is counted.
 	ArrivedAt time.Time
 	// ServiceTime is the expected time from start to end; zero or less means unknown.
-	Service time.Duration
+	ServiceTime time.Duration
 	// Started is true for items that may have run in part. They are attempted regardless of their deadline.
 	Started bool
 	// Readmitted is true for items that were admitted before. Queue limits and early refusal do not apply to them.
--- a/internal/scheduler/wait_limit.go
+++ b/internal/scheduler/wait_limit.go
@@ -17,7 +17,7 @@
 	if i.Deadline.IsZero() || i.Started {
 		return false
 	}
-	return start.Add(max(i.Service, 0)).After(i.Deadline)
+	return start.Add(max(i.ServiceTime, 0)).After(i.Deadline)
 }
 
 // Overdue reports whether an interactive item has waited too long at now and is to be refused if the engines are full.
@@ -26,8 +26,8 @@
 }
 
 func (i *Item) waitLimit() time.Duration {
-	share := time.Duration(waitServiceFactor * float64(i.Service))
-	if i.Service <= 0 && !i.Deadline.IsZero() {
+	share := time.Duration(waitServiceFactor * float64(i.ServiceTime))
+	if i.ServiceTime <= 0 && !i.Deadline.IsZero() {
 		share = time.Duration(waitDeadlineShare * float64(i.Deadline.Sub(i.ArrivedAt)))
 	}
 	return max(minWaitLimit, share)
--- a/internal/scheduler/window_test.go
+++ b/internal/scheduler/window_test.go
@@ -76,7 +76,7 @@
 	item := func(id uint64, since time.Time) Item {
 		return Item{
 			ID: id, Interactive: true, Pool: "p", Caller: "c", Tokens: 10, ArrivedAt: since,
-			Service: 2 * time.Second, Deadline: since.Add(8 * time.Second),
+			ServiceTime: 2 * time.Second, Deadline: since.Add(8 * time.Second),
 		}
 	}
 	take := func(*Item) Verdict { return Take }
