--- a/internal/scheduler/snapshot.go
+++ b/internal/scheduler/snapshot.go
@@ -56,7 +56,7 @@
 
 // hasRoom reports whether the pool's limit and the node's window admit one more request of the class at now.
 func (s *EngineState) hasRoom(now time.Time, interactive bool, limit int) bool {
-	return s.InFlight < limit && s.Window(interactive).Open(now, s.InFlightOf(interactive))
+	return s.InFlight < limit && s.Window(interactive).Allows(now, s.InFlightOf(interactive))
 }
 
 // Reserve counts a request that starts at now.
--- a/internal/scheduler/window.go
+++ b/internal/scheduler/window.go
@@ -27,7 +27,7 @@
 }
 
 // Allows reports whether one more request may start at now in addition to inFlight of the class.
-func (w *Window) Open(now time.Time, inFlight int) bool {
+func (w *Window) Allows(now time.Time, inFlight int) bool {
 	if w.size == 0 {
 		return true
 	}
--- a/internal/scheduler/window_test.go
+++ b/internal/scheduler/window_test.go
@@ -12,36 +12,36 @@
 	now := time.Unix(0, 0)
 	Convey("A window is unlimited until the engine refuses a request as full", t, func() {
 		var w Window
-		So(w.Open(now, 1000), ShouldBeTrue)
+		So(w.Allows(now, 1000), ShouldBeTrue)
 	})
 	Convey("After a refusal no request starts during the hold, and then half of those that were in flight", t, func() {
 		var w Window
 		w.Refuse(now, 8, 0.999)
-		So(w.Open(now.Add(windowBaseHold/2), 0), ShouldBeFalse)
-		So(w.Open(now.Add(windowBaseHold), 3), ShouldBeTrue)
-		So(w.Open(now.Add(windowBaseHold), 5), ShouldBeFalse)
+		So(w.Allows(now.Add(windowBaseHold/2), 0), ShouldBeFalse)
+		So(w.Allows(now.Add(windowBaseHold), 3), ShouldBeTrue)
+		So(w.Allows(now.Add(windowBaseHold), 5), ShouldBeFalse)
 	})
 	Convey("A window grows with answers that left room only, and is unlimited again at the limit", t, func() {
 		var w Window
 		w.Refuse(now, 4, 0)
 		later := now.Add(windowBaseHold)
 		w.Answer(8, 8)
-		So(w.Open(later, 3), ShouldBeFalse)
+		So(w.Allows(later, 3), ShouldBeFalse)
 		w.Answer(7, 8)
-		So(w.Open(later, 3), ShouldBeFalse)
+		So(w.Allows(later, 3), ShouldBeFalse)
 		w.Answer(6, 8)
-		So(w.Open(later, 3), ShouldBeTrue)
+		So(w.Allows(later, 3), ShouldBeTrue)
 		for range 8 {
 			w.Answer(0, 8)
 		}
 		So(w, ShouldResemble, Window{refusedAt: now, holdUntil: now.Add(windowBaseHold / 2)})
-		So(w.Open(now, 1000), ShouldBeTrue)
+		So(w.Allows(now, 1000), ShouldBeTrue)
 	})
 	Convey("A window grows with time, so that an engine whose other load has ended is used again", t, func() {
 		var w Window
 		w.Refuse(now, 0, 0)
-		So(w.Open(now.Add(windowBaseHold), 2), ShouldBeFalse)
-		So(w.Open(now.Add(2*windowRecoveryInterval), 2), ShouldBeTrue)
+		So(w.Allows(now.Add(windowBaseHold), 2), ShouldBeFalse)
+		So(w.Allows(now.Add(2*windowRecoveryInterval), 2), ShouldBeTrue)
 	})
 	Convey("After any refusals an engine is held off, but no longer than the maximum hold", t, func() {
 		rapid.Check(t, func(t *rapid.T) {
@@ -49,7 +49,7 @@
 			for range rapid.IntRange(1, 40).Draw(t, "refusals") {
 				w.Refuse(now, rapid.IntRange(0, 64).Draw(t, "in flight"), rapid.Float64Range(0, 0.999).Draw(t, "random"))
 			}
-			if w.Open(now, 0) || !w.Open(now.Add(windowMaxHold), 0) {
+			if w.Allows(now, 0) || !w.Allows(now.Add(windowMaxHold), 0) {
 				t.Fatalf("window %+v", w)
 			}
 		})
