--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -279,7 +279,7 @@
 		held.state.DrainingUntil = now.Add(drainingHold)
 	case enginev1.RefusedFull:
 		interactive := held.class == ClassInteractive
-		held.state.Window(interactive).Refuse(now, held.state.InFlightOf(interactive)-1, random)
+		held.state.Window(interactive).ObserveRefusal(now, held.state.InFlightOf(interactive)-1, random)
 	default:
 		held.state.HoldUntil = now.Add(busyHold)
 	}
--- a/internal/scheduler/window.go
+++ b/internal/scheduler/window.go
@@ -40,7 +40,7 @@
 
 // ObserveRefusal records a refusal as full while the engine held inFlight other requests of this node and class. random is uniform in [0,
 // 1).
-func (w *Window) Refuse(now time.Time, inFlight int, random float64) {
+func (w *Window) ObserveRefusal(now time.Time, inFlight int, random float64) {
 	w.size = max(1, float64(inFlight)*windowShrink)
 	w.refusedAt = now
 	half := min(windowMaxHold, windowBaseHold<<w.refusals) / 2
--- a/internal/scheduler/window_test.go
+++ b/internal/scheduler/window_test.go
@@ -16,14 +16,14 @@
 	})
 	Convey("After a refusal no request starts during the hold, and then half of those that were in flight", t, func() {
 		var w Window
-		w.Refuse(now, 8, 0.999)
+		w.ObserveRefusal(now, 8, 0.999)
 		So(w.Allows(now.Add(windowBaseHold/2), 0), ShouldBeFalse)
 		So(w.Allows(now.Add(windowBaseHold), 3), ShouldBeTrue)
 		So(w.Allows(now.Add(windowBaseHold), 5), ShouldBeFalse)
 	})
 	Convey("A window grows with answers that left room only, and is unlimited again at the limit", t, func() {
 		var w Window
-		w.Refuse(now, 4, 0)
+		w.ObserveRefusal(now, 4, 0)
 		later := now.Add(windowBaseHold)
 		w.Answer(8, 8)
 		So(w.Allows(later, 3), ShouldBeFalse)
@@ -39,7 +39,7 @@
 	})
 	Convey("A window grows with time, so that an engine whose other load has ended is used again", t, func() {
 		var w Window
-		w.Refuse(now, 0, 0)
+		w.ObserveRefusal(now, 0, 0)
 		So(w.Allows(now.Add(windowBaseHold), 2), ShouldBeFalse)
 		So(w.Allows(now.Add(2*windowRecoveryInterval), 2), ShouldBeTrue)
 	})
@@ -47,7 +47,7 @@
 		rapid.Check(t, func(t *rapid.T) {
 			var w Window
 			for range rapid.IntRange(1, 40).Draw(t, "refusals") {
-				w.Refuse(now, rapid.IntRange(0, 64).Draw(t, "in flight"), rapid.Float64Range(0, 0.999).Draw(t, "random"))
+				w.ObserveRefusal(now, rapid.IntRange(0, 64).Draw(t, "in flight"), rapid.Float64Range(0, 0.999).Draw(t, "random"))
 			}
 			if w.Allows(now, 0) || !w.Allows(now.Add(windowMaxHold), 0) {
 				t.Fatalf("window %+v", w)
