--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -293,7 +293,7 @@
 	}
 	interactive := held.class == ClassInteractive
 	limit := scheduler.SlotLimit(pool.Spec.MaxConcurrent, pool.Spec.InteractiveReserve, interactive)
-	held.state.Window(interactive).Answer(load.Running+load.Waiting, limit)
+	held.state.Window(interactive).ObserveAnswer(load.Running+load.Waiting, limit)
 }
 
 // observeLoad takes over a report that came with a reply of the grant's incarnation.
--- a/internal/scheduler/window.go
+++ b/internal/scheduler/window.go
@@ -49,7 +49,7 @@
 }
 
 // ObserveAnswer records an answer after which the engine held load requests, of at most limit of the class.
-func (w *Window) Answer(load, limit int) {
+func (w *Window) ObserveAnswer(load, limit int) {
 	w.refusals = max(w.refusals-1, 0)
 	if w.size == 0 || load >= limit {
 		return
--- a/internal/scheduler/window_test.go
+++ b/internal/scheduler/window_test.go
@@ -25,14 +25,14 @@
 		var w Window
 		w.ObserveRefusal(now, 4, 0)
 		later := now.Add(windowBaseHold)
-		w.Answer(8, 8)
+		w.ObserveAnswer(8, 8)
 		So(w.Allows(later, 3), ShouldBeFalse)
-		w.Answer(7, 8)
+		w.ObserveAnswer(7, 8)
 		So(w.Allows(later, 3), ShouldBeFalse)
-		w.Answer(6, 8)
+		w.ObserveAnswer(6, 8)
 		So(w.Allows(later, 3), ShouldBeTrue)
 		for range 8 {
-			w.Answer(0, 8)
+			w.ObserveAnswer(0, 8)
 		}
 		So(w, ShouldResemble, Window{refusedAt: now, holdUntil: now.Add(windowBaseHold / 2)})
 		So(w.Allows(now, 1000), ShouldBeTrue)
