--- a/internal/batchrun/candidates.go
+++ b/internal/batchrun/candidates.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// maxPromptHolders bounds the engines recorded per shared prompt.
-	maxPromptHolders = 16
+	// maxPrefixHolders bounds the engines recorded per prompt prefix.
+	maxPrefixHolders = 16
 	// speedClassFactor is the ratio of event intervals that separates two speed classes.
 	speedClassFactor = 1.2
 	// maxSpeedClass is the slowest speed class that items with slack are placed in. A slower engine is probably faulty.
@@ -53,7 +53,7 @@
 	record  *engineRecord
 	slots   int
 	version int64
-	// cost is the cost of one more item whose shared prompt the engine does not hold.
+	// cost is the cost of one more item whose prompt prefix the engine does not hold.
 	cost float64
 	// speedClass is 0 for the fastest engines and grows by 1 for each speedClassFactor by which the engine is slower.
 	speedClass int
@@ -76,11 +76,11 @@
 	return residency
 }
 
-// pool returns the engines of a service with free slots for a model's items, as far as the placement filter permits them for the residency.
+// pool returns the engines of a service with free slots for a model's items that the placement filter permits for the residency.
 func (s *schedulingPass) pool(service, model string, residency placement.Residency) *pool {
 	key := poolKey{service: service, model: model, residency: residency.Key()}
-	if known, ok := s.pools[key]; ok {
-		return known
+	if existing, ok := s.pools[key]; ok {
+		return existing
 	}
 	permitted := placement.NewFilter(s.view, residency).Engines(service)
 	engines, complete := s.runner.subsetFor(s.view, key, permitted)
@@ -100,12 +100,12 @@
 	return widened
 }
 
-// newPool builds the pool of those engines that have free slots.
+// newPool builds a pool of the engines that have free slots.
 func (s *schedulingPass) newPool(key poolKey, engines []*fleet.Engine) *pool {
 	created := &pool{byVersion: make(map[int64]*candidateGroup), byID: make(map[string]*candidate), key: key}
 	s.pools[key] = created
 	for _, engine := range engines {
-		record := s.runner.engine(engine.ID)
+		record := s.runner.recordOf(engine.ID)
 		slots := engine.Slots
 		if slots <= 0 {
 			slots = defaultSlots
@@ -127,13 +127,13 @@
 
 // rank computes speed classes and orders the engines of each version.
 func (p *pool) rank(now time.Time) {
-	for _, known := range p.byID {
-		if interval := known.record.eventInterval(now); p.minInterval == 0 || interval < p.minInterval {
+	for _, c := range p.byID {
+		if interval := c.record.eventInterval(now); p.minInterval == 0 || interval < p.minInterval {
 			p.minInterval = interval
 		}
 	}
-	for _, known := range p.byID {
-		known.speedClass = speedClassOf(known.record.eventInterval(now), p.minInterval)
+	for _, c := range p.byID {
+		c.speedClass = speedClassOf(c.record.eventInterval(now), p.minInterval)
 	}
 	for _, group := range p.byVersion {
 		heap.Init(&group.cheapest)
@@ -181,7 +181,7 @@
 			best, bestCost = cheapest, cheapest.cost
 		}
 	}
-	for _, id := range s.runner.promptHolders[it.Prefix] {
+	for _, id := range s.runner.prefixHolders[it.Prefix] {
 		holder, ok := from.byID[id]
 		if !ok || holder.version < minVersion || !versionAllowed(route, it, holder.version) {
 			continue
@@ -217,12 +217,12 @@
 func (s *schedulingPass) chooseIsolated(route *routing.Route, it *item, minVersion int64) *candidate {
 	from := s.poolOf(route, it)
 	var best *candidate
-	for _, known := range from.byID {
-		if known.record.isolated > 0 || known.version < minVersion || !versionAllowed(route, it, known.version) {
+	for _, c := range from.byID {
+		if c.record.isolated > 0 || c.version < minVersion || !versionAllowed(route, it, c.version) {
 			continue
 		}
-		if best == nil || known.cheaperThan(best) {
-			best = known
+		if best == nil || c.cheaperThan(best) {
+			best = c
 		}
 	}
 	return best
@@ -238,43 +238,43 @@
 
 // refresh updates the pools after an item was placed on the engine.
 func (s *schedulingPass) refresh(chosen *candidate) {
-	for _, known := range s.pools {
-		seen, ok := known.byID[chosen.engine.ID]
+	for _, p := range s.pools {
+		entry, ok := p.byID[chosen.engine.ID]
 		if !ok {
 			continue
 		}
-		group := known.byVersion[seen.version]
-		if seen.record.running >= seen.slots || !s.runner.hasColdCapacity(seen.engine) {
-			heap.Remove(&group.cheapest, seen.heapIndexes[orderCheapest])
-			heap.Remove(&group.slowest, seen.heapIndexes[orderSlowest])
-			delete(known.byID, seen.engine.ID)
+		group := p.byVersion[entry.version]
+		if entry.record.running >= entry.slots || !s.runner.hasColdCapacity(entry.engine) {
+			heap.Remove(&group.cheapest, entry.heapIndexes[orderCheapest])
+			heap.Remove(&group.slowest, entry.heapIndexes[orderSlowest])
+			delete(p.byID, entry.engine.ID)
 			continue
 		}
-		seen.cost = seen.record.cost(seen.slots, "", s.now)
-		heap.Fix(&group.cheapest, seen.heapIndexes[orderCheapest])
-		heap.Fix(&group.slowest, seen.heapIndexes[orderSlowest])
+		entry.cost = entry.record.cost(entry.slots, "", s.now)
+		heap.Fix(&group.cheapest, entry.heapIndexes[orderCheapest])
+		heap.Fix(&group.slowest, entry.heapIndexes[orderSlowest])
 	}
 }
 
-// addPromptHolder records that an engine is about to hold a shared prompt.
-func (r *Runner) addPromptHolder(prefix, engine string, record *engineRecord) {
+// addPrefixHolder records that an engine is about to hold a prompt prefix.
+func (r *Runner) addPrefixHolder(prefix, engine string, record *engineRecord) {
 	if prefix == "" || len(record.prefixes) >= maxPrefixes {
 		return
 	}
 	record.prefixes[prefix] = struct{}{}
-	holders := r.promptHolders[prefix]
+	holders := r.prefixHolders[prefix]
 	if slices.Contains(holders, engine) {
 		return
 	}
-	if len(holders) >= maxPromptHolders {
+	if len(holders) >= maxPrefixHolders {
 		holders = holders[1:]
 	}
-	r.promptHolders[prefix] = append(holders, engine)
+	r.prefixHolders[prefix] = append(holders, engine)
 }
 
-// prunePromptHolders drops engines that no longer hold a shared prompt. The mutex must be held.
-func (r *Runner) prunePromptHolders() {
-	for prefix, holders := range r.promptHolders {
+// prunePrefixHolders drops engines that no longer hold a prompt prefix. The mutex must be held.
+func (r *Runner) prunePrefixHolders() {
+	for prefix, holders := range r.prefixHolders {
 		holders = slices.DeleteFunc(holders, func(id string) bool {
 			record, ok := r.engines[id]
 			if !ok {
@@ -284,10 +284,10 @@
 			return !held
 		})
 		if len(holders) == 0 {
-			delete(r.promptHolders, prefix)
+			delete(r.prefixHolders, prefix)
 			continue
 		}
-		r.promptHolders[prefix] = holders
+		r.prefixHolders[prefix] = holders
 	}
 }
 
@@ -328,8 +328,8 @@
 	if x != y {
 		return x > y
 	}
-	if chosen, otherTaken := c.record.running*other.slots, other.record.running*c.slots; chosen != otherTaken {
-		return chosen < otherTaken
+	if taken, otherTaken := c.record.running*other.slots, other.record.running*c.slots; taken != otherTaken {
+		return taken < otherTaken
 	}
 	return c.engine.ID < other.engine.ID
 }
--- a/internal/batchrun/checkpoint.go
+++ b/internal/batchrun/checkpoint.go
@@ -14,8 +14,8 @@
 
 const (
 	checkpointInterval = 250 * time.Millisecond
-	// rewriteSlack is how many bytes beyond twice its last rewritten size the log may grow before it is rewritten. It bounds the time to read the log
-	// back.
+	// rewriteSlack is how many bytes beyond twice its last rewritten size the log may grow before it is rewritten. It bounds the time needed to
+	// restore the log.
 	rewriteSlack = 2 << 20
 	// minCheckpointEvents is the minimum length of a text in a checkpoint. Shorter texts are cheap to produce again.
 	minCheckpointEvents = 10
@@ -67,7 +67,7 @@
 	return r.recordCheckpoint(len(entries), log.Rewrite(entries))
 }
 
-// appendTexts appends what texts have grown by to the log. It reports success.
+// appendTexts appends the new events of texts to the log. It reports success.
 func (r *Runner) appendTexts(log *textlog.Log) bool {
 	r.mu.Lock()
 	entries := r.changedTexts()
@@ -75,7 +75,8 @@
 	return len(entries) == 0 || r.recordCheckpoint(len(entries), log.Append(entries))
 }
 
-// recordCheckpoint reports the outcome of a write, and whether it succeeded. After a failed write the log is rewritten.
+// recordCheckpoint reports the outcome of a write to the observer, and returns whether the write succeeded. After a failed write the log is
+// rewritten.
 func (r *Runner) recordCheckpoint(texts int, err error) (done bool) {
 	r.Observer.Checkpointed(texts, err)
 	if err != nil && !errors.Is(err, textlog.ErrFull) {
@@ -84,7 +85,7 @@
 	return err == nil
 }
 
-// changedTexts returns what unfinished texts have grown by since the last call. The mutex must be held.
+// changedTexts returns the events added to unfinished texts since the last call. The mutex must be held.
 func (r *Runner) changedTexts() []textlog.Entry {
 	var entries []textlog.Entry
 	for _, it := range r.unfinishedItems() {
--- a/internal/batchrun/cold.go
+++ b/internal/batchrun/cold.go
@@ -8,8 +8,7 @@
 	"github.com/covelink/covelink/internal/routing"
 )
 
-// Quota is the rate limit of cold engines, which can bear only part of their load. A grant is given at once or not at all: items without a grant wait
-// in the runner's queue.
+// Quota limits the rate of runs at cold engines. Its methods do not block: an item that gets no grant waits in the runner's queue.
 type Quota interface {
 	// Cold reports whether a run at the engine needs a grant now.
 	Cold(engine *fleet.Engine) bool
@@ -19,7 +18,7 @@
 	Take(engine *fleet.Engine, rank routing.Rank) bool
 }
 
-// coldSendTimeout is how soon after its placement a run must be sent to a cold engine: the lifetime of a grant.
+// coldSendTimeout is how soon after placement a run must be sent to a cold engine. It equals the lifetime of a grant.
 const coldSendTimeout = forward.GrantedSendTime
 
 // highestRank precedes the rank of any request. It is used to select candidates before the item is known.
--- a/internal/batchrun/commit.go
+++ b/internal/batchrun/commit.go
@@ -15,8 +15,9 @@
 const (
 	// commitInterval is the minimum delay between two writes of a job's results.
 	commitInterval = 150 * time.Millisecond
-	// maxBatchDelay bounds how long a result waits for others of its job, to save writes to the store. A result that completes a group does not wait.
-	maxBatchDelay    = 500 * time.Millisecond
+	// maxBatchDelay bounds how long a result waits to be stored together with others of its job. A result that completes a group does not wait.
+	maxBatchDelay = 500 * time.Millisecond
+	// commitRetryDelay is the delay before a failed write is retried.
 	commitRetryDelay = 100 * time.Millisecond
 )
 
--- a/internal/batchrun/detached.go
+++ b/internal/batchrun/detached.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// maxDetached bounds the detached runs, so that work which may be unwanted takes few slots.
+	// maxDetached bounds the number of detached runs, because their texts may never be used.
 	maxDetached = 512
 	// detachedTTL is how long a detached run may continue until a later job attaches it.
 	detachedTTL = 6 * time.Second
@@ -28,8 +28,8 @@
 	}
 	detached := it.run
 	detached.detachedAt = r.now()
-	detached.release()
-	detached.released = true
+	detached.dropRewardCall()
+	detached.noRewardCall = true
 	it.job.runs = slices.DeleteFunc(it.job.runs, func(id itemwork.RunID) bool { return id == detached.id })
 	r.detached[it.textKey()] = detached
 	r.Observer.HandedOver(HandOverDetached)
@@ -39,7 +39,7 @@
 }
 
 // isDetached reports whether a run continues after the end of its job.
-func (r *Runner) isDetached(known *run) bool { return r.detached[known.item.textKey()] == known }
+func (r *Runner) isDetached(rn *run) bool { return r.detached[rn.item.textKey()] == rn }
 
 // attach assigns a detached run to an item carried over into a later job, or cancels the run if that job may not use its text. The mutex must be
 // held.
@@ -80,8 +80,8 @@
 	}
 }
 
-// keepText keeps an item's text for a later job. This includes items with a result: a group is carried over as a whole if its trainer has not read
-// all of its results.
+// keepText keeps an item's text for a later job. Texts of items with a result are kept too, because the whole group is carried over if
+// its trainer has not read all of its results.
 func (r *Runner) keepText(it *item) {
 	if it.text.Len() == 0 {
 		return
@@ -90,7 +90,7 @@
 	it.text = itemwork.Text{}
 }
 
-// recordCarryOver records by how much the required weight version of a carried-over item has risen.
+// recordCarryOver records the increase in the required weight version of a carried-over item.
 func (r *Runner) recordCarryOver(model string, before, now int64) {
 	if now >= before {
 		r.carryOverOffsets[model] = now - before
--- a/internal/batchrun/draining.go
+++ b/internal/batchrun/draining.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	// drainShare is the share of EvacuateTime spent on ending runs. The rest covers the delay until the coordinator learns of the evacuation.
+	// drainShare is the share of EvacuateTime spent on ending runs. The rest covers the delay until the coordinator receives the evacuation.
 	drainShare = 0.4
 	// drainInterval is the delay between two selections of runs to end.
 	drainInterval = 200 * time.Millisecond
-	// drainMargin is how long before the deadline all remaining runs are ended, as the next selection may come too late.
+	// drainMargin is how long before the deadline all remaining runs are ended, because the next selection may be after the deadline.
 	drainMargin = drainInterval + scheduleInterval
 )
 
@@ -36,7 +36,7 @@
 	deadline time.Time
 }
 
-// update records the evacuations. A newly evacuated zone must be empty after the window, or at once if evacuations were unknown before.
+// update records the evacuations. The drain deadline of a newly evacuated zone is after the window, or now if evacuations were unknown before.
 func (e *drainingZones) update(evacuations *fleet.Evacuations, now time.Time, window time.Duration) {
 	if evacuations == e.evacuations {
 		return
@@ -61,7 +61,7 @@
 	e.zones = zones
 }
 
-// evacuatedRun is a run in an evacuated zone, with what decides whether and when it is ended.
+// evacuatedRun is a run in an evacuated zone, with the criteria for ending it.
 type evacuatedRun struct {
 	run *run
 	// timeLeft is the expected remaining time of the stream, and untilDeadline the time until the zone's drain deadline.
@@ -157,18 +157,18 @@
 	}
 	var found []evacuatedRun
 	freeSlots := make(map[*pool]*int)
-	for _, known := range r.runs {
-		if known.moving || !known.streaming {
+	for _, rn := range r.runs {
+		if rn.moving || !rn.streaming {
 			continue
 		}
-		zone, draining := r.draining.zones[r.zoneOf(known, pass.view)]
-		detached := r.isDetached(known)
-		if !draining || (!detached && !known.current()) {
+		zone, draining := r.draining.zones[r.zoneOf(rn, pass.view)]
+		detached := r.isDetached(rn)
+		if !draining || (!detached && !rn.current()) {
 			continue
 		}
-		candidate := evacuatedRun{run: known, timeLeft: r.timeLeft(known.item), untilDeadline: zone.deadline.Sub(now), unwanted: detached}
+		candidate := evacuatedRun{run: rn, timeLeft: r.timeLeft(rn.item), untilDeadline: zone.deadline.Sub(now), unwanted: detached}
 		if !candidate.mustEnd() && !candidate.mayStay() {
-			candidate.freeSlots = r.freeSlotsFor(pass, known.item, freeSlots)
+			candidate.freeSlots = r.freeSlotsFor(pass, rn.item, freeSlots)
 		}
 		found = append(found, candidate)
 	}
@@ -176,13 +176,13 @@
 }
 
 // zoneOf returns the zone of a run's engine, or "" if it is unknown. The mutex must be held.
-func (r *Runner) zoneOf(known *run, view *fleet.View) string {
-	if known.zone == "" {
-		if engine, listed := view.Engines.Get(known.engine); listed {
-			known.zone = engine.Zone
+func (r *Runner) zoneOf(rn *run, view *fleet.View) string {
+	if rn.zone == "" {
+		if engine, listed := view.Engines.Get(rn.engine); listed {
+			rn.zone = engine.Zone
 		}
 	}
-	return known.zone
+	return rn.zone
 }
 
 // freeSlotsFor returns the counter of free slots in the pool where an item could resume, or nil if no engine of that pool can take the item now.
@@ -199,8 +199,8 @@
 		return nil
 	}
 	target := pass.poolOf(route, it)
-	counter, known := counters[target]
-	if !known {
+	counter, ok := counters[target]
+	if !ok {
 		free := target.freeSlots() - r.pendingFor(pass, target)
 		counter = &free
 		counters[target] = counter
@@ -211,8 +211,8 @@
 // freeSlots returns the number of free slots in the pool.
 func (p *pool) freeSlots() int {
 	free := 0
-	for _, known := range p.byID {
-		free += known.slots - known.record.running
+	for _, c := range p.byID {
+		free += c.slots - c.record.running
 	}
 	return free
 }
--- a/internal/batchrun/engine_record.go
+++ b/internal/batchrun/engine_record.go
@@ -11,54 +11,58 @@
 const (
 	// defaultEventInterval is the assumed interval between two events until one is observed.
 	defaultEventInterval = 40 * time.Millisecond
-	// intervalWeight is the weight of the newest event interval in an engine's moving average.
-	intervalWeight = 0.12
-	// minFleetWeight is the minimum weight of the newest report in the moving average over all engines.
-	minFleetWeight = 0.01
-	// maxIntervalFactor bounds an observed interval relative to the average, because one long interval, as during a weight load, is no sign of a slow
-	// engine.
+	// intervalSmoothing is the smoothing factor of an engine's moving average of event intervals.
+	intervalSmoothing = 0.12
+	// minFleetSmoothing is the minimum smoothing factor of the fleet average, which is updated once per report.
+	minFleetSmoothing = 0.01
+	// maxIntervalFactor caps an observed interval at this multiple of the average, because a single long interval, for example while weights are
+	// loaded, does not mean that the engine is slow.
 	maxIntervalFactor = 4
-	// intervalTTL is how long the average of an engine without events remains fully valid.
+	// intervalTTL is how long after an engine's last event its average is used without a cap.
 	intervalTTL = 3 * time.Second
-	// maxStaleFactor bounds an expired average relative to the fleet's: differences in hardware persist, faults do not.
+	// maxStaleFactor caps a stale average at this multiple of the fleet average: slower hardware stays slow, but a temporary fault may be over.
 	maxStaleFactor = 1.4
 	// reportedVersionTTL is how long a version reported by an engine takes precedence over the engine list.
 	reportedVersionTTL = 1500 * time.Millisecond
-	// affinityFactor is the cost of an engine that holds the item's shared prompt, relative to one that does not.
+	// affinityFactor is the cost of an engine that holds the item's prompt prefix, relative to one that does not.
 	affinityFactor = 0.95
-	// loadFactor is the relative slowdown of a full engine compared to an idle one.
+	// loadFactor is the relative increase in the event interval of a full engine over an idle one.
 	loadFactor = 0.1
-	// minBackoff and maxBackoff bound the backoff of an engine after consecutive failures.
+	// The backoff after n consecutive failures is minBackoff * 2^n, at most maxBackoff.
 	minBackoff = 100 * time.Millisecond
 	maxBackoff = 2 * time.Second
 	// busyBackoff is the initial backoff of an engine that refused an item. It doubles with each consecutive refusal, up to maxBusyBackoff.
 	busyBackoff    = 80 * time.Millisecond
 	maxBusyBackoff = 500 * time.Millisecond
-	maxPrefixes    = 256
+	// maxPrefixes limits the prompt prefixes remembered per engine.
+	maxPrefixes = 256
 )
 
 // engineRecord holds the runner's own observations of an engine, in addition to the engine list.
 type engineRecord struct {
+	// running is the number of running items.
 	running int
-	// isolated is the number of running items that must not share an engine with each other.
+	// isolated is the number of running items in isolation (under quarantine); a further isolated item must not be sent here.
 	isolated     int
 	backoffUntil time.Time
-	failures     int
-	loading      bool
+	// failures counts consecutive failures.
+	failures int
+	// loading is true while the engine loads weights.
+	loading bool
 	// averageInterval is the moving average of the interval between two events, and observedAt the time of its last update.
 	averageInterval time.Duration
 	observedAt      time.Time
 	fleetInterval   *fleetInterval
 	// refusals counts consecutive refusals.
 	refusals int
-	// versions holds the weight versions by model that responses and reports contained, and versionsAt the time of the last one.
+	// versions holds the last reported weight version of each model; versionsAt is when the last one was reported.
 	versions   map[string]int64
 	versionsAt time.Time
-	// prefixes holds the shared prompts sent to the engine under its current weights.
+	// prefixes holds the prompt prefixes sent to the engine under its current weights.
 	prefixes map[string]struct{}
 }
 
-func (r *Runner) engine(id string) *engineRecord {
+func (r *Runner) recordOf(id string) *engineRecord {
 	record, ok := r.engines[id]
 	if !ok {
 		record = &engineRecord{versions: make(map[string]int64), prefixes: make(map[string]struct{}), fleetInterval: &r.fleetInterval}
@@ -67,7 +71,8 @@
 	return record
 }
 
-// version returns the weight version of a model at an engine, as far as known. A recently reported version takes precedence over the engine list.
+// version returns the weight version of a model at an engine, or zero if it is unknown. A recently reported version takes precedence over the engine
+// list.
 func (e *engineRecord) version(engine *fleet.Engine, model string, now time.Time) int64 {
 	reported, ok := e.versions[model]
 	if ok && now.Sub(e.versionsAt) < reportedVersionTTL {
@@ -76,7 +81,7 @@
 	return max(engine.Versions[model], reported)
 }
 
-// setVersion records the version from a response or report. A changed version clears the engine's shared prompts.
+// setVersion records the version from a response or report. A changed version clears the engine's prompt prefixes.
 func (e *engineRecord) setVersion(model string, version int64, now time.Time) {
 	e.versionsAt = now
 	if version == e.versions[model] {
@@ -86,13 +91,13 @@
 	clear(e.prefixes)
 }
 
-// observeInterval updates the average with the mean of count intervals between events.
+// observeInterval updates the average with the mean of count intervals between events, and resets the refusal count.
 func (e *engineRecord) observeInterval(interval time.Duration, count int, now time.Time) {
 	average := e.eventInterval(now)
 	interval = min(interval, maxIntervalFactor*average)
 	e.refusals = 0
-	weight := 1 - math.Pow(1-intervalWeight, float64(count))
-	e.averageInterval = average + time.Duration(weight*float64(interval-average))
+	smoothing := 1 - math.Pow(1-intervalSmoothing, float64(count))
+	e.averageInterval = average + time.Duration(smoothing*float64(interval-average))
 	e.observedAt = now
 }
 
@@ -129,10 +134,11 @@
 		return
 	}
 	interval = min(interval, maxIntervalFactor*f.average)
-	f.average += time.Duration(max(1/float64(f.count), minFleetWeight) * float64(interval-f.average))
+	f.average += time.Duration(max(1/float64(f.count), minFleetSmoothing) * float64(interval-f.average))
 }
 
-// cost returns the expected event interval of one more item in seconds, reduced for a shared prompt and multiplied for recent refusals.
+// cost returns the expected event interval, in seconds, if one more item is sent; lower if the engine holds the prompt prefix, and multiplied by
+// 1 + consecutive refusals.
 func (e *engineRecord) cost(slots int, prefix string, now time.Time) float64 {
 	cost := e.eventInterval(now).Seconds() * (1 + loadFactor*float64(e.running)/float64(slots))
 	if _, held := e.prefixes[prefix]; held && prefix != "" {
@@ -141,8 +147,8 @@
 	return cost * float64(1+e.refusals)
 }
 
-// attemptEnded updates the slots, failures and backoff after a run at the engine has ended.
-func (e *engineRecord) attemptEnded(result itemwork.Verdict, now time.Time) {
+// runEnded updates the number of running items, the failure and refusal counts, and the backoff after a run.
+func (e *engineRecord) runEnded(result itemwork.Verdict, now time.Time) {
 	e.running--
 	switch result {
 	case itemwork.VerdictWhole, itemwork.VerdictImpossible:
--- a/internal/batchrun/groups.go
+++ b/internal/batchrun/groups.go
@@ -55,16 +55,17 @@
 	return groups
 }
 
-// groupForecast holds what decides whether a trainer is expected to wait for a group.
+// groupForecast holds the criteria for whether a trainer is expected to wait for a group.
 type groupForecast struct {
 	finished bool
-	// required is true for groups that the trainer waits for in any case, renewed for groups that were restarted and complete too late for this job.
+	// required is true for a group that the trainer waits for in any case. renewed is true for a group that was restarted and will complete too late
+	// for this job.
 	required, renewed bool
 	timeLeft          time.Duration
 }
 
-// spareGroups returns which of a job's groups its trainer is not expected to wait for: those that take longest beyond the desired number. It also
-// returns the remaining time of the longest group that is waited for.
+// spareGroups returns the groups of a job that its trainer is not expected to wait for: the slowest of those beyond the desired number. longest is
+// the longest remaining time of the other groups.
 func spareGroups(forecasts []groupForecast, desired int) (spare []bool, longest time.Duration) {
 	spare = make([]bool, len(forecasts))
 	unfinished := 0
@@ -126,7 +127,7 @@
 	}
 }
 
-// logProgress logs how far a job had come when its end was requested. The mutex must be held.
+// logProgress logs the state of a job's groups when its end is requested. The mutex must be held.
 func (r *Runner) logProgress(j *job) {
 	complete, spare, renewed, carriedOver, unfinished := 0, 0, 0, 0, 0
 	for _, group := range j.groups {
@@ -158,7 +159,7 @@
 	case phaseFinished, phaseScoring:
 		return 0
 	case phaseRunning:
-		interval = r.engine(it.run.engine).eventInterval(r.now())
+		interval = r.recordOf(it.run.engine).eventInterval(r.now())
 	}
 	return time.Duration(r.lengths.remaining(it.ExpectedLength, it.text.Len()) * float64(interval))
 }
--- a/internal/batchrun/job.go
+++ b/internal/batchrun/job.go
@@ -164,7 +164,7 @@
 
 // stop cancels the run of an item.
 func (it *item) stop() {
-	if it.run != nil && !it.run.over {
+	if it.run != nil && !it.run.finished {
 		it.run.cancel()
 	}
 }
--- a/internal/batchrun/lengths.go
+++ b/internal/batchrun/lengths.go
@@ -3,23 +3,23 @@
 import "math"
 
 const (
-	// assumedTokensPerEvent applies until texts with an estimate have ended.
+	// assumedTokensPerEvent is the assumed number of tokens per event until a text with an estimate has completed.
 	assumedTokensPerEvent = 50.0
-	// assumedEvents is the assumed length, in events, of a text without an estimate until such texts have ended.
+	// assumedEvents is the assumed length, in events, of a text without an estimate until such a text has completed.
 	assumedEvents = 25.0
 	// assumedLengthError is the initial standard deviation of the log ratio of actual to estimated length.
 	assumedLengthError = 0.5
 	// minLengthError is the minimum standard deviation assumed for estimates.
 	minLengthError = 0.2
-	// lengthWeight is the minimum weight of the newest text in the moving averages.
-	lengthWeight = 0.005
-	// tailGrowth is the expected rest of a text far beyond its estimate, relative to its length. It applies where the conditional mean is numerically
-	// undefined.
+	// minLengthSmoothing is the minimum smoothing factor of the moving averages, which are updated once per text.
+	minLengthSmoothing = 0.005
+	// tailGrowth is the expected remaining length of a text far beyond its estimate, relative to its current length. It is used where the conditional
+	// mean is numerically undefined.
 	tailGrowth = 0.1
 )
 
 // lengthModel predicts text lengths in events from the callers' estimates in tokens and from completed texts. It assumes a log-normal distribution
-// around the corrected estimate. It is not safe for concurrent use.
+// around the estimate times the average number of events per token. It is not safe for concurrent use.
 type lengthModel struct {
 	// count is the number of texts with an estimate, logRatio the moving average of the logarithm of their events per estimated token, and variance
 	// the moving average of its squared error.
@@ -48,23 +48,23 @@
 	m.longest = max(m.longest, events)
 	if expectedTokens <= 0 {
 		m.unestimatedCount++
-		m.unestimatedLog += averageWeight(m.unestimatedCount) * (math.Log(float64(events)) - m.unestimatedLog)
+		m.unestimatedLog += smoothingFactor(m.unestimatedCount) * (math.Log(float64(events)) - m.unestimatedLog)
 		return
 	}
 	m.count++
-	weight := averageWeight(m.count)
+	smoothing := smoothingFactor(m.count)
 	logError := math.Log(float64(events)/float64(expectedTokens)) - m.logRatio
-	m.logRatio += weight * logError
+	m.logRatio += smoothing * logError
 	// The first text only initializes the ratio; its deviation is not an estimation error.
 	if m.count > 1 {
-		m.variance += weight * (logError*logError - m.variance)
+		m.variance += smoothing * (logError*logError - m.variance)
 	}
 }
 
-// averageWeight returns the weight of the newest value: a plain mean at first, a moving average later.
-func averageWeight(count int) float64 { return max(1/float64(count), lengthWeight) }
+// smoothingFactor returns the smoothing factor after count values: a plain mean at first, a moving average later.
+func smoothingFactor(count int) float64 { return max(1/float64(count), minLengthSmoothing) }
 
-// remaining returns the expected number of events that a text still lacks. A text beyond its estimate is expected to grow further.
+// remaining returns the expected number of further events of a text, at least 1, also for a text beyond its estimate.
 func (m *lengthModel) remaining(expectedTokens, produced int) float64 {
 	logMean, logDeviation := m.unestimatedLog, 1.0
 	if expectedTokens > 0 {
--- a/internal/batchrun/local_sink.go
+++ b/internal/batchrun/local_sink.go
@@ -10,19 +10,19 @@
 type localSink struct {
 	runner     *Runner
 	assignment *itemwork.Assignment
-	// reported is the number of reported events.
+	// reported is the number of events reported so far.
 	reported int
 	lastID   int64
 	version  int64
 	end      itemwork.End
-	// released is true if the run must make no reward call.
-	released atomic.Bool
-	cancel   func()
+	// noRewardCall is true if the run must make no reward call.
+	noRewardCall atomic.Bool
+	cancel       func()
 }
 
 var _ itemwork.Sink = (*localSink)(nil)
 
-// report sends a report to the runner, and cancels or releases the run if the runner no longer wants it.
+// report sends a report to the runner, and cancels the run or drops its reward call according to the reply.
 func (s *localSink) report(change func(report *itemwork.Report)) {
 	report := &itemwork.Report{
 		Run:     s.assignment.Run,
@@ -39,7 +39,7 @@
 	case itemwork.Unwanted:
 		s.cancel()
 	case itemwork.TextOnly:
-		s.released.Store(true)
+		s.noRewardCall.Store(true)
 	case itemwork.Wanted:
 	}
 }
@@ -72,7 +72,7 @@
 func (s *localSink) StreamEnded(end itemwork.End) (judge bool) {
 	s.end = end
 	s.report(func(*itemwork.Report) {})
-	return !s.released.Load()
+	return !s.noRewardCall.Load()
 }
 
 // RewardCallEnded implements itemwork.Sink.
--- a/internal/batchrun/main_test.go
+++ b/internal/batchrun/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestMain fixes the seed of property tests, so that every run gives the same verdict; -rapid.seed sets another.
+// TestMain fixes the seed of the property tests so that results are reproducible; override it with -rapid.seed.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if flag.Lookup("rapid.seed").Value.String() == "0" {
--- a/internal/batchrun/paths_test.go
+++ b/internal/batchrun/paths_test.go
@@ -26,12 +26,13 @@
 	"github.com/covelink/covelink/internal/tenants"
 )
 
-// sends counts, over all cases of a property test, the sends by path and the runs that workers withheld.
+// sends counts the sends by route and sending process, and the runs that a worker's placement filter refused, over all cases of a property test.
 type sends struct {
-	mu       sync.Mutex
-	byPath   map[string]int
-	refused  []string
-	withheld int
+	mu               sync.Mutex
+	byRouteAndSender map[string]int
+	// violations describes the sends that the sender's view forbids.
+	violations       []string
+	filteredByWorker int
 }
 
 // recorder is the transport of one process. It checks each send against that process's view at the time. It implements forward.Transport.
@@ -44,27 +45,27 @@
 
 // Send implements forward.Transport.
 func (r *recorder) Send(ctx context.Context, engine *fleet.Engine, request *forward.Request, options forward.SendOptions) (*forward.Answer, error) {
-	path := strings.Split(request.Target, "/")[1]
+	key := strings.Split(request.Target, "/")[1]
 	if options.Resume {
-		path += " resumed"
+		key += " resumed"
 	}
-	path += " by " + r.name
+	key += " by " + r.name
 	r.sends.mu.Lock()
-	r.sends.byPath[path]++
+	r.sends.byRouteAndSender[key]++
 	if reason := forbidden(r.state.View(), engine, request); reason != "" {
-		r.sends.refused = append(r.sends.refused, fmt.Sprintf("%s: %s for %s of %q to %s in %s", path, reason, request.ID, request.Tenant, engine.ID, engine.Zone))
+		r.sends.violations = append(r.sends.violations, fmt.Sprintf("%s: %s for %s of %q to %s in %s", key, reason, request.ID, request.Tenant, engine.ID, engine.Zone))
 	}
 	r.sends.mu.Unlock()
 	return r.engines.Send(ctx, engine, request, options)
 }
 
-// forbidden returns why a view does not allow a send, or "" if it does. It shares no code with the placement filter, which it checks.
+// forbidden returns why a view does not allow a send, or "" if it does. It is written independently of the placement filter, in order to check it.
 func forbidden(view *fleet.View, engine *fleet.Engine, request *forward.Request) string {
 	if listed, ok := view.Engines.Get(engine.ID); ok {
 		engine = listed
 	}
 	if !engine.Ready {
-		return "leaving"
+		return "not ready"
 	}
 	if view.Evacuations == nil {
 		return "evacuations unknown"
@@ -77,14 +78,14 @@
 	if route != nil && len(route.AllowedRegions) > 0 && !slices.Contains(route.AllowedRegions, region) {
 		return "region excluded by the route"
 	}
-	bound := view.Routes.Tenants.AllowedRegions(request.Tenant)
-	if len(bound) > 0 && !slices.Contains(bound, region) {
+	allowed := view.Routes.Tenants.AllowedRegions(request.Tenant)
+	if len(allowed) > 0 && !slices.Contains(allowed, region) {
 		return "region excluded by the tenant"
 	}
 	return ""
 }
 
-// deployment is the stored configuration. A process learns of it through applyTo.
+// deployment is the stored configuration. A process receives updates of it only through applyTo.
 type deployment struct {
 	revision  int64
 	evacuated map[string]int64
@@ -104,6 +105,7 @@
 		route("rollout", "pool", routing.KindBatch), route("judge", "judges", routing.KindIdempotent), route("lookup", "judges", routing.KindIdempotent),
 	}, []routing.Service{{Name: "pool"}, {Name: "judges"}}, routing.Limits{})
 	var entries []tenants.Entry
+	// The regions of tenant "bound" may be restricted; those of tenant "free" never are.
 	for _, name := range []string{"free", "bound"} {
 		entries = append(entries, tenants.Entry{Tenant: tenants.Tenant{Name: name, AllowedRegions: d.regions[name]}})
 	}
@@ -111,8 +113,8 @@
 	return table
 }
 
-// applyTo sets a process's view to the current deployment. It lets all goroutines settle between the parts, so that each send is checked against its
-// view.
+// applyTo sets a process's view to the current deployment. It waits for all goroutines to block after each update, so that the recorder checks a
+// send against the view it was decided on.
 func (d *deployment) applyTo(state *fleet.State) {
 	synctest.Wait()
 	state.SetRoutes(d.table())
@@ -128,8 +130,8 @@
 // pathHarness is a coordinator and two workers, each with its own view.
 type pathHarness struct {
 	*deployment
-	engineSet *fakeEngines
-	sends     *sends
+	fakes *fakeEngines
+	sends *sends
 	// states holds the views of the coordinator and the workers, in this order.
 	states    []*fleet.State
 	forwarder *forward.Forwarder
@@ -140,13 +142,13 @@
 	running   sync.WaitGroup
 }
 
-// addProcess returns the executor of a process with an empty view.
+// addProcess adds a process with an empty view and returns its executor.
 func (h *pathHarness) addProcess(name string, topology fleet.Topology) *itemwork.Executor {
 	state := fleet.NewState()
 	state.MarkEvacuationsUnknown()
 	state.SetTopology(topology)
 	h.states = append(h.states, state)
-	transport := &recorder{name: name, state: state, engines: h.engineSet, sends: h.sends}
+	transport := &recorder{name: name, state: state, engines: h.fakes, sends: h.sends}
 	forwarder := forward.New(state, transport, forward.NewPicker(time.Now), log.NewNopLogger())
 	return &itemwork.Executor{State: state, Transport: transport, Forwarder: forwarder}
 }
@@ -173,7 +175,7 @@
 				for _, report := range request.Reports {
 					if report.End.Withheld {
 						h.sends.mu.Lock()
-						h.sends.withheld++
+						h.sends.filteredByWorker++
 						h.sends.mu.Unlock()
 					}
 				}
@@ -189,7 +191,7 @@
 func (h *pathHarness) addEngine(t *rapid.T, service string, zones []string) {
 	id := fmt.Sprintf("%s-%d", service, h.revision)
 	h.revision++
-	h.engineSet.setBehavior(id, engineBehavior{pause: time.Duration(rapid.IntRange(20, 60).Draw(t, "pause")) * time.Millisecond})
+	h.fakes.setBehavior(id, engineBehavior{pause: time.Duration(rapid.IntRange(20, 60).Draw(t, "pause")) * time.Millisecond})
 	h.engines = append(h.engines, &fleet.Engine{
 		ID: id, Service: service, Zone: rapid.SampledFrom(zones).Draw(t, "zone of "+id),
 		Slots: rapid.IntRange(1, 3).Draw(t, "slots"), Ready: true, Versions: map[string]int64{model: 1},
@@ -208,16 +210,16 @@
 		h.evacuated = map[string]int64{}
 	case "leave":
 		at := rapid.IntRange(0, len(h.engines)-1).Draw(t, "leaving")
-		leaving := *h.engines[at]
-		leaving.Ready = false
-		h.engines[at] = &leaving
+		notReady := *h.engines[at]
+		notReady.Ready = false
+		h.engines[at] = &notReady
 	case "restart":
 		at := rapid.IntRange(0, len(h.engines)-1).Draw(t, "restarted")
 		service := h.engines[at].Service
 		h.engines = slices.Delete(h.engines, at, at+1)
 		h.addEngine(t, service, zones)
 	case "regions":
-		name := rapid.SampledFrom([]string{"rollout", "judge", "lookup", "bound"}).Draw(t, "whose")
+		name := rapid.SampledFrom([]string{"rollout", "judge", "lookup", "bound"}).Draw(t, "restricted route or tenant")
 		h.regions = maps.Clone(h.regions)
 		h.regions[name] = rapid.SampledFrom([][]string{nil, {"region-0"}, {"region-1"}, {"region-0", "region-1"}}).Draw(t, "regions")
 	case "submit":
@@ -257,8 +259,9 @@
 	h.running.Go(func() { h.forwarder.Do(context.Background(), route, request, boottime.Now().Add(2*time.Second)) })
 }
 
-// settle removes evacuations and region bounds, adds engines in the coordinator's zone, and checks that every accepted job completes.
-func (h *pathHarness) settle(t *rapid.T, zones []string) {
+// checkAllJobsComplete removes evacuations and region restrictions, adds engines in the coordinator's zone, and checks that every accepted job
+// completes.
+func (h *pathHarness) checkAllJobsComplete(t *rapid.T, zones []string) {
 	h.revision++
 	h.evacuated, h.regions = map[string]int64{}, nil
 	h.addEngine(t, "pool", []string{coordinatorZone})
@@ -267,16 +270,16 @@
 		h.applyTo(state)
 	}
 	time.Sleep(time.Minute)
-	events := make([]string, h.engineSet.events)
+	events := make([]string, h.fakes.events)
 	for i := range events {
 		events[i] = fmt.Sprintf("e%d", i+1)
 	}
 	for _, job := range h.jobs {
-		reading, err := h.runner.Read(context.Background(), batch.Ref{ID: job.ID, Tenant: job.Tenant}, 0, 0)
-		if err != nil || len(reading.Results) != len(job.Items) {
-			t.Fatalf("%s: results %v, error %v", job.ID, reading.Results, err)
+		page, err := h.runner.Read(context.Background(), batch.Ref{ID: job.ID, Tenant: job.Tenant}, 0, 0)
+		if err != nil || len(page.Results) != len(job.Items) {
+			t.Fatalf("%s: results %v, error %v", job.ID, page.Results, err)
 		}
-		for _, result := range reading.Results {
+		for _, result := range page.Results {
 			if result.State != batch.Done || result.Text != strings.Join(events, "\n") {
 				t.Fatalf("%s: state %v, text %q", result.ID, result.State, result.Text)
 			}
@@ -297,7 +300,7 @@
 	}
 	h := &pathHarness{
 		deployment: &deployment{revision: 1, evacuated: map[string]int64{}, regions: map[string][]string{}},
-		engineSet:  &fakeEngines{behaviors: make(map[string]engineBehavior), events: rapid.IntRange(5, 60).Draw(t, "events")},
+		fakes:      &fakeEngines{behaviors: make(map[string]engineBehavior), events: rapid.IntRange(5, 60).Draw(t, "events")},
 		sends:      sent,
 	}
 	for range rapid.IntRange(2, 5).Draw(t, "engines") {
@@ -321,36 +324,36 @@
 		}
 		time.Sleep(time.Duration(rapid.IntRange(1, 900).Draw(t, "pause")) * time.Millisecond)
 	}
-	h.settle(t, zones)
+	h.checkAllJobsComplete(t, zones)
 	sent.mu.Lock()
 	defer sent.mu.Unlock()
-	if len(sent.refused) > 0 {
-		t.Fatalf("sent although the placement filter refuses it: %s", strings.Join(sent.refused, "; "))
+	if len(sent.violations) > 0 {
+		t.Fatalf("sent although the sender's view forbids it: %s", strings.Join(sent.violations, "; "))
 	}
 }
 
 // virtualTB hides the Deadline method of *testing.T from rapid, because testing/synctest forbids calling it.
 type virtualTB struct{ *testing.T }
 
-// For any topology, configuration, evacuations and order of updates: no path sends what the placement filter refuses under the sender's view, and no
-// event is lost or duplicated.
+// For any topology, configuration, evacuations and order of updates, no process sends a request that its own view forbids, and no event is lost or
+// duplicated.
 func TestSendPaths(t *testing.T) {
-	sent := &sends{byPath: make(map[string]int)}
+	sent := &sends{byRouteAndSender: make(map[string]int)}
 	synctest.Test(t, func(t *testing.T) {
 		rapid.Check(virtualTB{t}, func(t *rapid.T) {
-			sent.refused = nil
+			sent.violations = nil
 			checkPaths(t, sent)
 		})
 	})
-	t.Logf("sends by path: %v; runs withheld by workers: %d", sent.byPath, sent.withheld)
-	for _, path := range []string{
+	t.Logf("sends by route and sender: %v; runs refused by workers' placement filters: %d", sent.byRouteAndSender, sent.filteredByWorker)
+	for _, key := range []string{
 		"lookup by worker", "judge by worker", "rollout by coordinator", "rollout by worker", "rollout resumed by worker",
 	} {
-		if sent.byPath[path] == 0 {
-			t.Errorf("no generated case sent anything on the path %q", path)
+		if sent.byRouteAndSender[key] == 0 {
+			t.Errorf("no generated case sent anything as %q", key)
 		}
 	}
-	if sent.withheld == 0 {
-		t.Error("no generated case made a worker withhold a run")
+	if sent.filteredByWorker == 0 {
+		t.Error("no generated case made a worker's placement filter refuse a run")
 	}
 }
--- a/internal/batchrun/place.go
+++ b/internal/batchrun/place.go
@@ -180,7 +180,7 @@
 	if route == nil {
 		return false
 	}
-	ownInterval := r.engine(it.run.engine).eventInterval(pass.now)
+	ownInterval := r.recordOf(it.run.engine).eventInterval(pass.now)
 	other, otherInterval := pass.choose(route, it, r.preferredVersion(pass, route, it))
 	if other == nil || other.engine.ID == it.run.engine || r.isCold(other.engine) || ownInterval.Seconds() < minMoveSpeedup*otherInterval {
 		return false
--- a/internal/batchrun/renew.go
+++ b/internal/batchrun/renew.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	// renewWait bounds how long a restarted item waits for an engine of its preferred version, so that it is not without an engine for long.
+	// renewWait bounds how long a restarted item waits for an engine of its preferred version before older versions are accepted.
 	renewWait = time.Second
 )
 
-// carryOverOffset returns by how much the later job of carried-over items requires newer weights: the last observed offset, and at least one version
-// per open job of the model, because a trainer's first jobs all require the first version. The mutex must be held.
+// carryOverOffset returns the expected increase in the required weight version for items carried over into a later job: the last observed increase,
+// and at least one version per open job of the model, because a trainer's first jobs all require the first version. The mutex must be held.
 func (r *Runner) carryOverOffset(model string) int64 {
 	open := int64(0)
 	for _, j := range r.order {
@@ -26,12 +26,12 @@
 	return max(open, r.carryOverOffsets[model], 1)
 }
 
-// carryOverVersion returns the minimum weight version expected of the job into which unfinished items of this one are carried over. The mutex must be
+// carryOverVersion returns the minimum weight version expected of the job into which unfinished items of job j are carried over. The mutex must be
 // held.
 func (r *Runner) carryOverVersion(j *job) int64 { return j.MinVersion + r.carryOverOffset(j.Model) }
 
-// renewSpareGroups restarts spare items at engines whose weights the later job allows. That job cannot use their current texts, but can use the new
-// ones. The mutex must be held.
+// renewSpareGroups restarts items of spare groups at engines whose weights the later job allows, if their current texts are too old for that job.
+// The mutex must be held.
 func (r *Runner) renewSpareGroups(pass *schedulingPass) {
 	if pass.view.Routes == nil {
 		return
@@ -49,7 +49,7 @@
 	}
 }
 
-// renewGroup restarts the running items of a group whose texts are older than the version, as far as engines of that version have free slots.
+// renewGroup restarts the running items of a group whose texts are older than the version, while engines of that version or newer have free slots.
 func (r *Runner) renewGroup(pass *schedulingPass, group *itemGroup, version int64) {
 	for _, it := range group.items {
 		if it.phase != phaseRunning || it.run.moving || it.text.Len() == 0 || it.text.Fits(itemwork.Bounds{MinVersion: version}) {
--- a/internal/batchrun/report.go
+++ b/internal/batchrun/report.go
@@ -16,44 +16,45 @@
 	if !r.leads() {
 		return itemwork.Wanted
 	}
-	known, ok := r.runs[report.Run]
+	rn, ok := r.runs[report.Run]
 	if !ok {
-		known = r.adopt(worker, report)
+		rn = r.adopt(worker, report)
 	}
-	if known == nil {
+	if rn == nil {
 		return itemwork.Unwanted
 	}
-	if known.over {
-		return dispositionWhenOver(report)
+	if rn.finished {
+		return dispositionWhenFinished(report)
 	}
-	known.lastReport = r.now()
-	r.observeReport(known, report)
-	if (known.current() || r.isDetached(known)) && !known.item.text.Merge(report) {
-		level.Warn(r.Logger).Log("msg", "report does not continue the item's text", "request", known.item.ID, "run", known.id, "from", report.From)
-		r.markLost(known)
+	rn.lastReport = r.now()
+	r.observeReport(rn, report)
+	if (rn.current() || r.isDetached(rn)) && !rn.item.text.Merge(report) {
+		level.Warn(r.Logger).Log("msg", "report leaves a gap in the item's text", "request", rn.item.ID, "run", rn.id, "from", report.From)
+		r.markLost(rn)
 		return itemwork.Unwanted
 	}
-	if known.streaming && report.End.Verdict != itemwork.VerdictNone {
-		r.streamEnded(known, report)
+	if rn.streaming && report.End.Verdict != itemwork.VerdictNone {
+		r.streamEnded(rn, report)
 	}
-	if known.current() && report.Judgement.State != itemwork.JudgementOpen {
-		r.rewardCallEnded(known, report.Judgement)
+	if rn.current() && report.Judgement.State != itemwork.JudgementOpen {
+		r.rewardCallEnded(rn, report.Judgement)
 	}
 	switch {
-	case r.isDetached(known):
+	case r.isDetached(rn):
 		return itemwork.TextOnly
-	case known.item.job.ended:
-		r.pruneRuns(known.item.job)
+	case rn.item.job.ended:
+		r.pruneRuns(rn.item.job)
 		return itemwork.Unwanted
-	case known.released:
+	case rn.noRewardCall:
 		return itemwork.TextOnly
 	}
 	return itemwork.Wanted
 }
 
-// dispositionWhenOver returns what a worker may do with a run that is over. It must stop a stream and make no reward call: the item has another run,
-// and nothing would cancel the call when the job ends. The worker keeps ended runs for a later term.
-func dispositionWhenOver(report *itemwork.Report) itemwork.Disposition {
+// dispositionWhenFinished returns what a worker may do with a finished run. The worker must cancel an open stream, because the item has another run.
+// It must not start a reward call, because nothing would cancel that call when the job ends. A run that has nothing left to do stays Wanted, so that
+// the worker keeps its result for the coordinator of a later term.
+func dispositionWhenFinished(report *itemwork.Report) itemwork.Disposition {
 	switch {
 	case report.End.Verdict == itemwork.VerdictNone:
 		return itemwork.Unwanted
@@ -64,13 +65,13 @@
 }
 
 // observeReport records the engine's weight version and event intervals from a report. The mutex must be held.
-func (r *Runner) observeReport(known *run, report *itemwork.Report) {
-	if known.engine == "" {
+func (r *Runner) observeReport(rn *run, report *itemwork.Report) {
+	if rn.engine == "" {
 		return
 	}
-	record := r.engine(known.engine)
+	record := r.recordOf(rn.engine)
 	if report.Version > 0 {
-		record.setVersion(known.item.job.Model, report.Version, r.now())
+		record.setVersion(rn.item.job.Model, report.Version, r.now())
 	}
 	if report.PauseCount > 0 {
 		interval := report.Pauses / time.Duration(report.PauseCount)
@@ -79,7 +80,8 @@
 	}
 }
 
-// adopt takes over a run that an earlier term started or that was given up as lost. It returns nil if the run is of no use. The mutex must be held.
+// adopt continues a run that an earlier term started or that was given up as lost. It returns nil if its text cannot be used for the item. The
+// mutex must be held.
 func (r *Runner) adopt(worker string, report *itemwork.Report) *run {
 	it := r.reportedItem(report)
 	if it == nil || report.From > 0 || (it.phase != phaseWaiting && it.phase != phaseRunning) {
@@ -88,7 +90,7 @@
 	j := it.job
 	var text itemwork.Text
 	text.Merge(report)
-	// A worker that reports late may hold more than the run that replaced it.
+	// A worker that reports late may have more text than the run that replaced its own.
 	if it.phase == phaseRunning && text.Len() <= it.text.Len() {
 		return nil
 	}
@@ -102,19 +104,19 @@
 	it.text = text
 	adopted := r.addRun(report.Run, it, report.Engine)
 	r.assignWorker(adopted, worker)
-	adopted.streaming, adopted.released = true, report.Released
+	adopted.streaming, adopted.noRewardCall = true, report.Released
 	if j.ID != report.Job && !report.Released {
-		// The later job's item makes the reward call.
-		adopted.release()
-		adopted.released = true
+		// The run must not make the reward call of its ended job; the later job makes its own.
+		adopted.dropRewardCall()
+		adopted.noRewardCall = true
 	}
 	it.phase = phaseRunning
-	r.engine(report.Engine).running++
+	r.recordOf(report.Engine).running++
 	return adopted
 }
 
-// reportedItem returns the item that a run's text belongs to, or nil. A run that outlived its job belongs to the item of that name in a later job of
-// the tenant, so that a change of coordinator does not restart carried-over texts.
+// reportedItem returns the item that a run's text belongs to, or nil. If its job has ended, the run belongs to the item with the same ID in a later
+// job of the same tenant, so that a new coordinator continues the text instead of restarting it.
 func (r *Runner) reportedItem(report *itemwork.Report) *item {
 	if j, ok := r.jobs[report.Job]; ok && !j.ended {
 		return j.byID[report.Item]
--- a/internal/batchrun/residency.go
+++ b/internal/batchrun/residency.go
@@ -20,7 +20,8 @@
 	return jobresidency.Whole(view.Routes, j).Allows(view.Topology.Region(r.Zone))
 }
 
-// residencyUnknown reports whether the regions allowed for jobs are unknown: the deployment has regions but no route table has arrived yet.
+// residencyUnknown reports whether the regions allowed for jobs are unknown: the deployment spans several regions, but no route table has arrived
+// yet.
 func (r *Runner) residencyUnknown() bool {
 	view := r.State.View()
 	return view.Routes == nil && view.Topology.MultiRegion()
@@ -41,29 +42,30 @@
 	}
 }
 
-// logExcluded logs why this process does not store or load a job.
+// logExcluded logs a message with this process's region and the regions allowed for the job.
 func (r *Runner) logExcluded(message string, j *batch.Job) {
 	view := r.State.View()
 	level.Warn(r.Logger).Log("msg", message, "request", j.ID, "tenant", j.Tenant, "region", view.Topology.Region(r.Zone),
 		"allowed", fmt.Sprint(jobresidency.Whole(view.Routes, j).RegionSets()))
 }
 
-// loadWithheld loads jobs that were withheld at the start of the term, once a later route table allows it. It returns when none is left or ctx ends.
-func (r *Runner) loadWithheld(ctx context.Context, withheld []batch.Job) {
-	for ctx.Err() == nil && len(withheld) > 0 {
+// loadExcluded loads the jobs that this region was not allowed to load at the start of the term, once a newer route table allows it. It returns when
+// none is left or ctx ends.
+func (r *Runner) loadExcluded(ctx context.Context, excluded []batch.Job) {
+	for ctx.Err() == nil && len(excluded) > 0 {
 		_, changed := r.State.Changed()
-		var left []batch.Job
-		for i := range withheld {
-			if !r.mayStore(&withheld[i]) {
-				left = append(left, withheld[i])
+		var remaining []batch.Job
+		for i := range excluded {
+			if !r.mayStore(&excluded[i]) {
+				remaining = append(remaining, excluded[i])
 				continue
 			}
-			if _, err := r.loadJob(ctx, withheld[i].ID); err != nil && !errors.Is(err, batch.ErrNotFound) {
-				level.Warn(r.Logger).Log("msg", "job not read", "request", withheld[i].ID, "err", err)
-				left = append(left, withheld[i])
+			if _, err := r.loadJob(ctx, excluded[i].ID); err != nil && !errors.Is(err, batch.ErrNotFound) {
+				level.Warn(r.Logger).Log("msg", "job not read", "request", excluded[i].ID, "err", err)
+				remaining = append(remaining, excluded[i])
 			}
 		}
-		withheld = left
+		excluded = remaining
 		select {
 		case <-changed:
 		case <-ctx.Done():
@@ -94,8 +96,9 @@
 	return false
 }
 
-// dispatch assigns a run to a worker near the engine, or to this process if there is none and the residency allows it; false if neither may execute
-// it. Once the term has ended the desk has no workers, and the run is left to the next term instead of being sent twice. The mutex must be held.
+// dispatch assigns a run to a worker near the engine, or to this process if there is no such worker and the residency allows it. It returns false
+// if neither may execute the run. After the term has ended, the run is not executed here either: the next term's coordinator may already have sent
+// it. The mutex must be held.
 func (r *Runner) dispatch(newRun *run, engine *fleet.Engine, assignment *itemwork.Assignment) bool {
 	residency := r.runResidency(newRun.item)
 	if r.Desk != nil {
--- a/internal/batchrun/retention.go
+++ b/internal/batchrun/retention.go
@@ -70,7 +70,7 @@
 // evict removes an ended job from memory. The mutex must be held.
 func (r *Runner) evict(j *job) {
 	delete(r.jobs, j.ID)
-	r.order = slices.DeleteFunc(r.order, func(known *job) bool { return known == j })
+	r.order = slices.DeleteFunc(r.order, func(other *job) bool { return other == j })
 	r.endedBytes -= j.resultBytes()
 }
 
@@ -92,7 +92,7 @@
 			delete(r.engines, id)
 		}
 	}
-	r.prunePromptHolders()
+	r.prunePrefixHolders()
 }
 
 // remove deletes a job from memory and from the store. It returns true if nothing is left for this process to remove.
@@ -110,7 +110,7 @@
 		return true
 	}
 	if errors.Is(err, batchlog.ErrWithheld) {
-		// A later term in an allowed region removes it.
+		// A later term in an allowed region removes the job.
 		level.Info(r.Logger).Log("msg", "job not removed: residency excludes this region", "request", id, "err", err)
 		return true
 	}
--- a/internal/batchrun/reuse.go
+++ b/internal/batchrun/reuse.go
@@ -4,7 +4,7 @@
 	"github.com/covelink/covelink/internal/itemwork"
 )
 
-// reuse gives an item the text, or the detached run, that an ended job left of it, if the job's bounds allow it.
+// reuse continues an item from the text or detached run that an ended job left, if the bounds of the item's new job allow that text.
 func (r *Runner) reuse(it *item) {
 	if earlier := r.earlierJob(it); earlier != nil {
 		it.carriedOver = true
@@ -45,8 +45,8 @@
 	return j.Tenant == other.Tenant && j.Model == other.Model && j.Step < other.Step && j.Step >= other.Step-steps
 }
 
-// hasEarlierJobs reports whether this process has the items of all jobs from which groups may be carried over into a job. It lacks those that ended
-// in an earlier term.
+// hasEarlierJobs reports whether this process has the items of all jobs from which groups may be carried over into a job. It does not have the
+// items of jobs that ended in an earlier term.
 func (r *Runner) hasEarlierJobs(j *job) bool {
 	missing := min(j.Step, stepsAhead)
 	for _, known := range r.order {
--- a/internal/batchrun/run.go
+++ b/internal/batchrun/run.go
@@ -13,15 +13,16 @@
 )
 
 const (
+	// retryDelay is the delay before an item is placed again after a failed run.
 	retryDelay = 50 * time.Millisecond
 	// adoptionWait is how long items of an earlier term wait for workers that still run them to report.
 	adoptionWait = 400 * time.Millisecond
-	// withheldRetryDelay is the delay before an item that a worker's placement filter withheld is placed again. Until this process learns what the
-	// worker knows, it may choose the same engine again.
+	// withheldRetryDelay is the delay before an item is placed again after a worker's placement filter refused its engine. Until this process has
+	// received the worker's newer view, it may choose the same engine again.
 	withheldRetryDelay = 250 * time.Millisecond
-	// lostVerdict is the verdict in logs and metrics of runs whose worker no longer reports.
+	// lostVerdict is the verdict, in logs and metrics, of a run whose worker no longer reports.
 	lostVerdict = "lost"
-	// reportTimeout is how long a stream at a worker may go without a report. It exceeds the time that an engine may be silent.
+	// reportTimeout is how long a stream at a worker may go without a report. It exceeds the time that an engine's stream may be silent.
 	reportTimeout = 3500 * time.Millisecond
 )
 
@@ -35,19 +36,19 @@
 	// worker executes the run; empty if this process does.
 	worker string
 	cancel func()
-	// release makes the run end without a reward call. released is true once it was called.
-	release  func()
-	released bool
+	// dropRewardCall makes the run end without a reward call. noRewardCall is true if the run must make none.
+	dropRewardCall func()
+	noRewardCall   bool
 	// initialEvents is the number of events in the text when the run started.
 	initialEvents int
-	// detachedAt is when the run's job ended while the run continued.
+	// detachedAt is when the run's job ended, if the run continued beyond that.
 	detachedAt time.Time
 	started    time.Time
 	// lastReport is when the run was last reported.
 	lastReport time.Time
-	// streaming is true until the stream has ended. over is true once nothing more is expected of the run.
+	// streaming is true until the stream has ended. finished is true once neither a stream nor a reward call is left.
 	streaming bool
-	over      bool
+	finished  bool
 	// isolated is true if the run shares no engine with other isolated runs.
 	isolated bool
 	// moving is true once the run was canceled so that its item resumes elsewhere, or because its detachedTTL passed.
@@ -70,9 +71,9 @@
 
 // start starts a run at an engine. The mutex must be held.
 func (r *Runner) start(it *item, route *routing.Route, engine *fleet.Engine, options startOptions) {
-	record := r.engine(engine.ID)
+	record := r.recordOf(engine.ID)
 	record.running++
-	r.addPromptHolder(it.Prefix, engine.ID, record)
+	r.addPrefixHolder(it.Prefix, engine.ID, record)
 	assignment := r.assignment(it, itemwork.Bounds{MinVersion: it.job.MinVersion, SingleVersion: route.SingleVersion})
 	assignment.Engine = itemwork.Target{
 		ID:      engine.ID,
@@ -122,7 +123,7 @@
 
 // addRun records a run that an item depends on. The mutex must be held.
 func (r *Runner) addRun(id itemwork.RunID, it *item, engine string) *run {
-	newRun := &run{id: id, item: it, engine: engine, started: r.now(), lastReport: r.now(), cancel: func() {}, release: func() {}, initialEvents: it.text.Len()}
+	newRun := &run{id: id, item: it, engine: engine, started: r.now(), lastReport: r.now(), cancel: func() {}, dropRewardCall: func() {}, initialEvents: it.text.Len()}
 	it.run = newRun
 	it.job.runs = append(it.job.runs, id)
 	r.runs[id] = newRun
@@ -133,13 +134,13 @@
 func (r *Runner) assignWorker(assigned *run, worker string) {
 	assigned.worker = worker
 	assigned.cancel = func() { r.Desk.Cancel(worker, assigned.id) }
-	assigned.release = func() { r.Desk.Release(worker, assigned.id) }
+	assigned.dropRewardCall = func() { r.Desk.Release(worker, assigned.id) }
 }
 
-// pruneRuns drops the runs of an ended job whose streams have ended. The mutex must be held.
+// pruneRuns removes those runs of an ended job whose streams have ended. The mutex must be held.
 func (r *Runner) pruneRuns(j *job) {
 	j.runs = slices.DeleteFunc(j.runs, func(id itemwork.RunID) bool {
-		if known := r.runs[id]; known != nil && known.streaming {
+		if rn := r.runs[id]; rn != nil && rn.streaming {
 			return false
 		}
 		delete(r.runs, id)
@@ -152,15 +153,15 @@
 	ctx, cancel := context.WithCancel(r.term)
 	sink := &localSink{runner: r, assignment: assignment, reported: assignment.Text.Len(), cancel: cancel}
 	newRun.cancel = cancel
-	newRun.release = func() { sink.released.Store(true) }
+	newRun.dropRewardCall = func() { sink.noRewardCall.Store(true) }
 	r.goroutines.Go(func() {
 		defer cancel()
 		r.executor.Run(ctx, assignment, sink)
 	})
 }
 
-// startRewardCall makes the reward call of an item whose text is complete, or lists the result if the item has none. The call needs a process in a
-// region that the item's residency allows; without one the item waits. The mutex must be held.
+// startRewardCall makes the reward call of an item whose text is complete, or lists the result if the item has no reward call. The call needs a
+// process in a region that the item's residency allows; while there is none, the item waits. The mutex must be held.
 func (r *Runner) startRewardCall(it *item) {
 	it.phase = phaseScoring
 	if it.Reward == nil {
@@ -178,7 +179,7 @@
 		return
 	}
 	if !r.dispatch(newRun, &fleet.Engine{ID: it.ID}, assignment) {
-		newRun.over = true
+		newRun.finished = true
 		it.phase = phaseWaiting
 	}
 }
--- a/internal/batchrun/run_end.go
+++ b/internal/batchrun/run_end.go
@@ -16,9 +16,9 @@
 	ended.streaming = false
 	if report.End.Withheld {
 		// The engine received nothing, so the verdict does not apply to it.
-		r.engine(ended.engine).running--
+		r.recordOf(ended.engine).running--
 	} else {
-		r.engine(ended.engine).attemptEnded(verdict, r.now())
+		r.recordOf(ended.engine).runEnded(verdict, r.now())
 	}
 	r.endIsolation(ended)
 	r.Observer.AttemptEnded(verdict.String(), report.End.Took)
@@ -26,14 +26,14 @@
 	r.wakeScheduler()
 	switch {
 	case r.isDetached(ended):
-		ended.over = true
+		ended.finished = true
 		it.text.Whole = verdict == itemwork.VerdictWhole
 		r.endDetached(ended)
 	case ended.current():
-		ended.over = verdict != itemwork.VerdictWhole
+		ended.finished = verdict != itemwork.VerdictWhole
 		r.continueItem(ended, report.End)
 	default:
-		ended.over = true
+		ended.finished = true
 	}
 }
 
@@ -50,7 +50,7 @@
 		"err", report.End.Cause)
 }
 
-// continueItem starts the reward call, retries or gives up an item after its run's stream has ended. The mutex must be held.
+// continueItem starts the reward call of an item, retries the item or gives it up, after its run's stream has ended. The mutex must be held.
 func (r *Runner) continueItem(ended *run, end itemwork.End) {
 	it := ended.item
 	now := r.now()
@@ -59,8 +59,8 @@
 		r.lengths.observe(it.ExpectedLength, it.text.Len())
 		it.text.Whole = true
 		it.phase = phaseScoring
-		if it.Reward == nil || ended.released {
-			ended.over = true
+		if it.Reward == nil || ended.noRewardCall {
+			ended.finished = true
 			r.startRewardCall(it)
 		}
 	case itemwork.VerdictImpossible:
@@ -89,14 +89,14 @@
 func (r *Runner) endIsolation(ended *run) {
 	if ended.isolated {
 		ended.isolated = false
-		r.engine(ended.engine).isolated--
+		r.recordOf(ended.engine).isolated--
 	}
 }
 
-// rewardCallEnded lists the result of an item whose reward call has ended. An aborted call is made again. The mutex must be held.
+// rewardCallEnded lists the result of an item whose reward call has ended. An aborted call is repeated. The mutex must be held.
 func (r *Runner) rewardCallEnded(ended *run, judgement itemwork.Judgement) {
 	it := ended.item
-	ended.over = true
+	ended.finished = true
 	switch judgement.State {
 	case itemwork.JudgementScored:
 		r.listResult(it, it.result(judgement.Score))
@@ -113,21 +113,21 @@
 func (r *Runner) WorkerLost(worker string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, known := range r.runs {
-		if known.worker == worker && !known.over {
-			r.markLost(known)
+	for _, rn := range r.runs {
+		if rn.worker == worker && !rn.finished {
+			r.markLost(rn)
 		}
 	}
 	r.wakeScheduler()
 }
 
-// expireRuns gives up the runs whose workers have not reported on them for reportTimeout. The mutex must be held.
+// expireRuns gives up runs that have not been reported for reportTimeout. The mutex must be held.
 func (r *Runner) expireRuns() {
 	now := r.now()
-	for _, known := range r.runs {
-		if known.worker != "" && known.streaming && now.Sub(known.lastReport) > reportTimeout {
-			known.cancel()
-			r.markLost(known)
+	for _, rn := range r.runs {
+		if rn.worker != "" && rn.streaming && now.Sub(rn.lastReport) > reportTimeout {
+			rn.cancel()
+			r.markLost(rn)
 		}
 	}
 }
@@ -135,10 +135,10 @@
 // markLost gives up a run on which no further report is expected. The mutex must be held.
 func (r *Runner) markLost(lost *run) {
 	it := lost.item
-	lost.over = true
+	lost.finished = true
 	if lost.streaming {
 		lost.streaming = false
-		r.engine(lost.engine).running--
+		r.recordOf(lost.engine).running--
 		r.endIsolation(lost)
 		r.Observer.AttemptEnded(lostVerdict, r.now().Sub(lost.started))
 	}
@@ -180,7 +180,7 @@
 	r.listResult(it, batch.Result{ID: it.ID, State: batch.Dead})
 }
 
-// listResult passes an item's result to the committer, and drops its text unless a later job may use it. The mutex must be held.
+// listResult passes an item's result to the committer, and drops the item's text unless a later job may use it. The mutex must be held.
 func (r *Runner) listResult(it *item, result batch.Result) {
 	it.phase = phaseFinished
 	if result.State != batch.Done || !it.text.Fits(itemwork.Bounds{MinVersion: r.carryOverVersion(it.job)}) {
--- a/internal/batchrun/runner.go
+++ b/internal/batchrun/runner.go
@@ -27,8 +27,8 @@
 	findTimeout = time.Second
 	// maxReadBytes bounds one read. Its encoded reply may take 1 MB.
 	maxReadBytes = 600 << 10
-	// maxRereadBytes bounds a read of results that were returned before the furthest read. Callers usually have those already, and traffic between
-	// zones is expensive.
+	// maxRereadBytes bounds a read of results that were returned before the furthest read. Callers usually have these results already, and
+	// traffic between zones is expensive.
 	maxRereadBytes = 128 << 10
 	// resultOverhead is the assumed size of a result beyond its text, in bytes.
 	resultOverhead = 256
@@ -43,7 +43,7 @@
 	State     *fleet.State
 	Transport forward.Transport
 	Forwarder *forward.Forwarder
-	// Guard holds back items under which engines have failed, and is notified of this process's runs. Nil disables quarantine.
+	// Guard holds items that engines failed while running, and is notified of this process's runs. Nil disables quarantine.
 	Guard *quarantine.Guard
 	Store metastore.Client
 	// Zone is the zone of this process. Jobs whose residency excludes its region are neither accepted nor loaded.
@@ -58,8 +58,8 @@
 	Retention time.Duration
 	// MaxEndedBytes bounds the results of ended jobs in memory; other results are read from the store on demand. Zero means DefaultMaxEndedBytes.
 	MaxEndedBytes int
-	// TextFolder is the directory for checkpoints of unfinished texts; empty disables them. They take up to TextLimit bytes, and twice that during a
-	// rewrite.
+	// TextFolder is the directory for checkpoints of unfinished texts; empty disables them. Checkpoints take up to TextLimit bytes, and
+	// up to twice as much during a rewrite.
 	TextFolder string
 	TextLimit  int64
 	// Observer may be nil.
@@ -86,32 +86,32 @@
 	jobs    map[string]*job
 	order   []*job
 	engines map[string]*engineRecord
-	// promptHolders lists the engines that were recently sent a shared prompt, by the prompt's ID.
-	promptHolders map[string][]string
+	// prefixHolders lists, by prompt prefix, the engines that were recently sent it.
+	prefixHolders map[string][]string
 	lengths       *lengthModel
 	fleetInterval fleetInterval
 	// detached holds the runs that continue after the end of their jobs, by text key.
 	detached map[string]*run
-	// carryOverOffsets is, by model, by how much the required weight version last rose for items carried over into a later job.
+	// carryOverOffsets maps each model to the last increase in the required weight version of items carried over into a later job.
 	carryOverOffsets map[string]int64
 	subsets          engineSubsets
 	draining         drainingZones
 	// unfinished holds the texts that ended jobs left for later jobs.
 	unfinished *unfinishedTexts
-	// endedAt holds when this process learned of the durable end of each job.
+	// endedAt holds the time at which this process recorded the durable end of each job.
 	endedAt map[string]time.Time
 	// submitted is the decayed sum of recently submitted items, by model.
 	submitted map[string]decay.Value
 	// endedBytes is the size of the results of ended jobs in memory.
 	endedBytes int
-	// goroutines tracks the goroutines of the term; it grows only during the term.
+	// goroutines tracks the goroutines of the term. Goroutines are added only during the term.
 	goroutines sync.WaitGroup
 	wake       chan struct{}
 }
 
 var _ batch.Service = (*Runner)(nil)
 
-// New returns a Runner that does nothing until Lead.
+// New returns a Runner that runs no jobs until Lead is called.
 func New(params Params) *Runner {
 	if params.Observer == nil {
 		params.Observer = nopObserver{}
@@ -126,7 +126,7 @@
 	return &Runner{Params: params, now: time.Now, executor: executor, wake: make(chan struct{}, 1), subsets: newEngineSubsets()}
 }
 
-// add starts to run a job. The mutex must be held and the process must lead.
+// add adds a job, and runs it unless it has ended. The mutex must be held and the process must lead.
 func (r *Runner) add(stored *batchlog.Stored) *job {
 	if known, ok := r.jobs[stored.Job.ID]; ok {
 		return known
@@ -159,14 +159,14 @@
 	}
 }
 
-// RecordVersion records the weight version that an engine is known to hold.
+// RecordVersion records the weight version that an engine holds.
 func (r *Runner) RecordVersion(engineID, model string, version int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.leads() {
 		return
 	}
-	r.engine(engineID).setVersion(model, version, r.now())
+	r.recordOf(engineID).setVersion(model, version, r.now())
 	r.addToSubsets(engineID, model)
 	r.wakeScheduler()
 }
@@ -178,7 +178,7 @@
 	if !r.leads() {
 		return
 	}
-	r.engine(engineID).loading = loading
+	r.recordOf(engineID).loading = loading
 	r.wakeScheduler()
 }
 
@@ -189,7 +189,7 @@
 	if !r.leads() {
 		return defaultEventInterval
 	}
-	return r.engine(engineID).eventInterval(r.now())
+	return r.recordOf(engineID).eventInterval(r.now())
 }
 
 // stopItems ends all work on a job and keeps the texts of its items for later jobs.
--- a/internal/batchrun/subset_test.go
+++ b/internal/batchrun/subset_test.go
@@ -66,7 +66,7 @@
 	}
 	for _, engine := range view.Ready("pool") {
 		if _, focused := runner.subsets.byPool[poolKey{service: "pool", model: "model-0"}].ids[engine.ID]; focused {
-			runner.engine(engine.ID).running = 6
+			runner.recordOf(engine.ID).running = 6
 		}
 	}
 	if chosen, _ := runner.newSchedulingPass(view).choose(route, itemOf("model-0", 1), 0); chosen == nil {
@@ -86,7 +86,7 @@
 			outside = engine.ID
 		}
 	}
-	runner.engine(outside).setVersion("model-0", 2, runner.now())
+	runner.recordOf(outside).setVersion("model-0", 2, runner.now())
 	runner.addToSubsets(outside, "model-0")
 	if chosen, _ := runner.newSchedulingPass(view).choose(route, itemOf("model-0", 2), 0); chosen == nil || chosen.engine.ID != outside {
 		t.Errorf("chose %v although %s has loaded version 2", chosen, outside)
--- a/internal/batchrun/term.go
+++ b/internal/batchrun/term.go
@@ -43,7 +43,7 @@
 		r.logExcluded("job not read", &opened.Withheld[i])
 	}
 	if len(opened.Withheld) > 0 {
-		r.goroutines.Go(func() { r.loadWithheld(ctx, opened.Withheld) })
+		r.goroutines.Go(func() { r.loadExcluded(ctx, opened.Withheld) })
 	}
 	r.goroutines.Go(func() { r.enforceRetention(ctx) })
 	if texts != nil {
@@ -57,7 +57,7 @@
 	level.Info(r.Logger).Log("msg", "no longer leading")
 }
 
-// resetState drops all state of an earlier term. The mutex must be held.
+// resetState drops the state of the previous term. The mutex must be held.
 func (r *Runner) resetState() {
 	r.jobs, r.order = make(map[string]*job), nil
 	r.endedAt, r.endedBytes = make(map[string]time.Time), 0
@@ -66,13 +66,13 @@
 	r.detached, r.carryOverOffsets = make(map[string]*run), make(map[string]int64)
 	r.unfinished = newUnfinishedTexts()
 	r.engines = make(map[string]*engineRecord)
-	r.promptHolders = make(map[string][]string)
+	r.prefixHolders = make(map[string][]string)
 	r.lengths, r.fleetInterval = newLengthModel(), fleetInterval{}
 	r.draining = drainingZones{}
 	r.subsets = newEngineSubsets()
 }
 
-// awaitAdoption delays the items of an earlier term, so that workers which still run them can report first. The mutex must be held.
+// awaitAdoption delays the items of a job from an earlier term, so that workers that still run them can report first. The mutex must be held.
 func (r *Runner) awaitAdoption(j *job) {
 	if r.Desk == nil {
 		return
@@ -95,7 +95,7 @@
 	return batchlog.Opened{}, false
 }
 
-// readRetryDelay is the delay before the open jobs are read again after a failure. No job runs until they are read.
+// readRetryDelay is the delay before the open jobs are read again after a failure. No job runs until this succeeds.
 const readRetryDelay = 150 * time.Millisecond
 
 // termLog returns the job log of the term, or batch.ErrUnavailable.
--- a/internal/forward/decision.go
+++ b/internal/forward/decision.go
@@ -167,7 +167,7 @@
 	if arrived.IsZero() {
 		arrived = j.started
 	}
-	return &waiter{rank: j.rank, arrived: arrived, retry: retry, hasQueueTimeout: j.request.QueueTimeout > 0}
+	return &waiter{rank: j.rank, arrived: arrived, needsRetryBudget: retry, hasQueueTimeout: j.request.QueueTimeout > 0}
 }
 
 // waitForCapacityOrGrant waits for capacity of a warm engine or for a grant of a cold one, whichever comes first. If the send is a retry, the
--- a/internal/forward/load.go
+++ b/internal/forward/load.go
@@ -65,7 +65,7 @@
 
 // serviceLoad estimates a service's load from this process's own attempts. Its methods take the current time. It is not safe for concurrent use.
 type serviceLoad struct {
-	load  Load
+	state Load
 	since time.Time
 	// inFlight counts this process's requests that an engine processes or that are about to be sent.
 	inFlight int
@@ -98,7 +98,7 @@
 	s.served.Add(now, 1)
 	s.servedAt = now
 	s.interval = minProbeInterval
-	if s.load == LoadNormal {
+	if s.state == LoadNormal {
 		return false
 	}
 	calm := now.Sub(s.refusedAt) >= recoveryTime
@@ -134,10 +134,10 @@
 		s.postponeProbe(now)
 	}
 	refusing, down := s.countRefusing(now)
-	if s.load == LoadNormal && !send.exhausted && 2*refusing <= send.engines {
+	if s.state == LoadNormal && !send.exhausted && 2*refusing <= send.engines {
 		return false
 	}
-	before := s.load
+	before := s.state
 	load := LoadFull
 	if 2*down > refusing {
 		load = LoadDown
@@ -155,7 +155,7 @@
 	return true
 }
 
-func (s *serviceLoad) setLoad(now time.Time, load Load) { s.load, s.since = load, now }
+func (s *serviceLoad) setLoad(now time.Time, load Load) { s.state, s.since = load, now }
 
 // countRefusing counts the engines that did not accept a request within refusalWindow, and the unreachable ones of them. It deletes records older
 // than staleAfter.
@@ -192,7 +192,7 @@
 // recordNoCapacity records that no engine may be sent a request now. It reports whether the load became LoadFull.
 func (s *serviceLoad) recordNoCapacity(now time.Time) bool {
 	s.refusedAt = now
-	if s.load != LoadNormal {
+	if s.state != LoadNormal {
 		return false
 	}
 	s.limit, s.limitCutAt = max(1, float64(s.inFlight)), now
@@ -214,7 +214,7 @@
 	if !s.servedAt.After(s.refusedAt) {
 		return false
 	}
-	return s.load == LoadNormal || float64(s.inFlight+1) <= s.limit
+	return s.state == LoadNormal || float64(s.inFlight+1) <= s.limit
 }
 
 func (s *serviceLoad) probeDue(now time.Time) bool { return !now.Before(s.probeAt) }
--- a/internal/forward/load_test.go
+++ b/internal/forward/load_test.go
@@ -57,8 +57,8 @@
 	} {
 		clock := newLoadClock()
 		c.play(clock)
-		if clock.load != c.load {
-			t.Errorf("%s: load %v, want %v", c.name, clock.load, c.load)
+		if clock.state != c.load {
+			t.Errorf("%s: load %v, want %v", c.name, clock.state, c.load)
 		}
 	}
 }
--- a/internal/forward/waiting.go
+++ b/internal/forward/waiting.go
@@ -16,8 +16,8 @@
 )
 
 // waitQueues holds this process's requests that wait for full services, one queue per service, ordered by rank and then by arrival. A queue
-// releases requests one by one while the service shows capacity, else as probes at an increasing interval. Retries are released only within the
-// retry budget. Each release and each begin must be followed by one call of end. It is safe for concurrent use.
+// releases requests while the service has capacity; otherwise it releases single requests as probes, at increasing intervals. Retries are released
+// only within the retry budget. The caller must call end once for each request that wait released or begin counted. Safe for concurrent use.
 type waitQueues struct {
 	budget   *retrybudget.Budget
 	logger   log.Logger
@@ -25,7 +25,7 @@
 	services map[string]*serviceQueue
 }
 
-// serviceQueue is the load of one service and the requests that wait for it.
+// serviceQueue holds the load of one service and the requests queued for it.
 type serviceQueue struct {
 	load *serviceLoad
 	// waiters are in release order.
@@ -38,9 +38,9 @@
 type waiter struct {
 	rank    routing.Rank
 	arrived time.Time
-	// retry is true if the retry budget has yet to grant the send.
-	retry bool
-	// hasQueueTimeout is true if the request sets its own Patience.
+	// needsRetryBudget is true if sending must first take from the retry budget.
+	needsRetryBudget bool
+	// hasQueueTimeout is true if the request sets its own QueueTimeout.
 	hasQueueTimeout bool
 	// released is closed when the request may be sent.
 	released chan struct{}
@@ -60,20 +60,20 @@
 	return queue
 }
 
-// begin counts a request as in flight that is sent without queueing.
+// begin counts a request that is sent without queueing as in flight.
 func (w *waitQueues) begin(service string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.queue(service).load.inFlight++
 }
 
-// availableEngines returns a service's load, and those of the engines that are not backing off after a refusal.
+// availableEngines returns a service's load state and the engines that are not backing off after a refusal.
 func (w *waitQueues) availableEngines(service string, engines []*fleet.Engine) (Load, []*fleet.Engine) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	load, now := w.queue(service).load, boottime.Now()
 	if len(load.refusals) == 0 {
-		return load.load, engines
+		return load.state, engines
 	}
 	var open []*fleet.Engine
 	for _, engine := range engines {
@@ -81,7 +81,7 @@
 			open = append(open, engine)
 		}
 	}
-	return load.load, open
+	return load.state, open
 }
 
 // expectedWait estimates how long a request that is queued now will wait.
@@ -97,27 +97,27 @@
 	return queue.load.expectedWait(boottime.Now(), ahead)
 }
 
-// wait blocks until the request is released, at most until a boottime. It reports whether the request may be sent: it then counts as in flight,
-// and a retry as granted.
-func (w *waitQueues) wait(ctx context.Context, service string, waiting *waiter, until time.Time) bool {
-	waiting.released = make(chan struct{})
-	w.enter(service, waiting)
-	timer := time.NewTimer(boottime.Until(until))
+// wait blocks until the request is released, or until the deadline (on the boot-time clock) passes or ctx ends. It reports whether the request may be
+// sent. If so, it is counted as in flight, and a retry has been taken from the budget.
+func (w *waitQueues) wait(ctx context.Context, service string, entry *waiter, deadline time.Time) bool {
+	entry.released = make(chan struct{})
+	w.enter(service, entry)
+	timer := time.NewTimer(boottime.Until(deadline))
 	defer timer.Stop()
 	select {
-	case <-waiting.released:
+	case <-entry.released:
 		return true
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	return !w.leave(service, waiting)
+	return !w.leave(service, entry)
 }
 
-func (w *waitQueues) enter(service string, waiting *waiter) {
+func (w *waitQueues) enter(service string, entry *waiter) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	queue := w.queue(service)
-	position, _ := slices.BinarySearchFunc(queue.waiters, waiting, func(other, own *waiter) int {
+	position, _ := slices.BinarySearchFunc(queue.waiters, entry, func(other, own *waiter) int {
 		if order := other.rank.Compare(own.rank); order != 0 {
 			return order
 		}
@@ -126,16 +126,16 @@
 		}
 		return -1
 	})
-	queue.waiters = slices.Insert(queue.waiters, position, waiting)
+	queue.waiters = slices.Insert(queue.waiters, position, entry)
 	w.release(service, queue)
 }
 
 // leave removes a waiter from the queue. It returns false if the waiter was already released.
-func (w *waitQueues) leave(service string, waiting *waiter) bool {
+func (w *waitQueues) leave(service string, entry *waiter) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	queue := w.queue(service)
-	position := slices.Index(queue.waiters, waiting)
+	position := slices.Index(queue.waiters, entry)
 	if position < 0 {
 		return false
 	}
@@ -143,29 +143,29 @@
 	return true
 }
 
-// endUnused ends a release after which nothing was sent.
+// endUnused gives up the in-flight slot of a released request that was not sent.
 func (w *waitQueues) endUnused(service string) { w.end(service, nil) }
 
-// end ends a send that counted as in flight. record records its outcome and reports whether the load changed; it is nil if the outcome says
-// nothing about the load.
-func (w *waitQueues) end(service string, record func(load *serviceLoad, now time.Time, waiting int) (changed bool)) {
+// end stops counting a request as in flight. record updates the load from the outcome of the request and reports whether the load state changed; nil
+// if the outcome says nothing about the load.
+func (w *waitQueues) end(service string, record func(load *serviceLoad, now time.Time, numWaiting int) (changed bool)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	queue, now := w.queue(service), boottime.Now()
 	queue.load.inFlight--
-	before, since := queue.load.load, queue.load.since
+	before, since := queue.load.state, queue.load.since
 	if record != nil && record(queue.load, now, len(queue.waiters)) {
 		w.logChange(service, queue, before, now.Sub(since), now)
 	}
 	w.release(service, queue)
 }
 
-// noCapacity records that there are only cold engines, and no grant for any of them.
+// noCapacity records that no engine can take a request now: all are cold, and the quota granted none.
 func (w *waitQueues) noCapacity(service string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	queue, now := w.queue(service), boottime.Now()
-	before, since := queue.load.load, queue.load.since
+	before, since := queue.load.state, queue.load.since
 	if queue.load.recordNoCapacity(now) {
 		w.logChange(service, queue, before, now.Sub(since), now)
 	}
@@ -174,12 +174,12 @@
 func (w *waitQueues) logChange(service string, queue *serviceQueue, before Load, lasted time.Duration, now time.Time) {
 	load := queue.load
 	refusing, unreachable := load.countRefusing(now)
-	level.Info(w.logger).Log("msg", "service load changed", "service", service, "load", load.load, "before", before, "lasted", lasted.Round(time.Millisecond),
+	level.Info(w.logger).Log("msg", "service load changed", "service", service, "load", load.state, "before", before, "lasted", lasted.Round(time.Millisecond),
 		"refused", load.refused.Sum(now), "served", load.served.Sum(now), "window", rateWindow, "engines_refusing", refusing, "engines_unreachable", unreachable,
 		"waiting", len(queue.waiters), "in_flight", load.inFlight, "limit", int(load.limit))
 }
 
-// release releases as many waiters as the service has capacity for, or one as a probe if one is due. The mutex must be held.
+// release releases as many waiters as the service has capacity for, and one more as a probe if one is due. The mutex must be held.
 func (w *waitQueues) release(service string, queue *serviceQueue) {
 	now := boottime.Now()
 	for queue.load.hasCapacity() && w.releaseOne(service, queue, func(*waiter) bool { return true }) {
@@ -194,8 +194,8 @@
 
 // probe releases the first waiter that may be sent as a probe. The mutex must be held.
 func (w *waitQueues) probe(service string, queue *serviceQueue, now time.Time) {
-	sent := w.releaseOne(service, queue, func(waiting *waiter) bool {
-		return !waiting.retry || queue.load.mayProbeWithRetry(now, waiting.hasQueueTimeout)
+	sent := w.releaseOne(service, queue, func(entry *waiter) bool {
+		return !entry.needsRetryBudget || queue.load.mayProbeWithRetry(now, entry.hasQueueTimeout)
 	})
 	if !sent {
 		queue.load.postponeProbe(now)
@@ -205,14 +205,14 @@
 }
 
 // releaseOne releases the first waiter that may be sent. It returns false if there is none. The mutex must be held.
-func (w *waitQueues) releaseOne(service string, queue *serviceQueue, eligible func(waiting *waiter) bool) bool {
-	for i, waiting := range queue.waiters {
-		if !eligible(waiting) || waiting.retry && !w.budget.Take(service) {
+func (w *waitQueues) releaseOne(service string, queue *serviceQueue, eligible func(entry *waiter) bool) bool {
+	for i, entry := range queue.waiters {
+		if !eligible(entry) || entry.needsRetryBudget && !w.budget.Take(service) {
 			continue
 		}
 		queue.waiters = slices.Delete(queue.waiters, i, i+1)
 		queue.load.inFlight++
-		close(waiting.released)
+		close(entry.released)
 		return true
 	}
 	return false
@@ -231,15 +231,15 @@
 	queue.timer.Reset(after)
 }
 
-// ServiceStatus is this process's view of a service's load.
+// ServiceStatus describes a service's load as observed by this process.
 type ServiceStatus struct {
 	Service string
 	Load    Load
-	// Since is the boottime of the last change of the load.
+	// Since is the time of the last change of Load, on the boot-time clock.
 	Since time.Time
-	// Waiting and InFlight count this process's requests.
+	// Waiting and InFlight count this process's queued requests and its requests in flight.
 	Waiting, InFlight int
-	// RetryRatio is the number of retries per first send within the retry budget's window.
+	// RetryRatio is the ratio of retries to first attempts in the retry budget's window.
 	RetryRatio float64
 }
 
@@ -250,7 +250,7 @@
 	for service, queue := range w.services {
 		all = append(all, ServiceStatus{
 			Service:    service,
-			Load:       queue.load.load,
+			Load:       queue.load.state,
 			Since:      queue.load.since,
 			Waiting:    len(queue.waiters),
 			InFlight:   queue.load.inFlight,
--- a/internal/itemwork/share_test.go
+++ b/internal/itemwork/share_test.go
@@ -9,39 +9,40 @@
 func TestAutoscalerShare(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct {
-		open, processes, least, most int
+		openItems, processes, minWorkers, maxWorkers int
 	}{{0, 50, 50, 50}, {5000, 60, 60, 60}, {0, 1000, 64, 64}, {1000, 1000, 128, 128}, {1000, 4000, 128, 128}, {9000, 1000, 1000, 1000}} {
-		var need Autoscaler
-		share := need.Share(c.open, c.processes, now)
+		var autoscaler Autoscaler
+		share := autoscaler.Share(c.openItems, c.processes, now)
 		if share == 0 {
 			share = 1
 		}
-		if workers := int(share*float64(c.processes) + 0.5); workers < c.least || workers > c.most {
-			t.Errorf("%d open items, %d processes: got %d workers", c.open, c.processes, workers)
+		if workers := int(share*float64(c.processes) + 0.5); workers < c.minWorkers || workers > c.maxWorkers {
+			t.Errorf("%d open items, %d processes: got %d workers", c.openItems, c.processes, workers)
 		}
 	}
-	var need Autoscaler
-	need.Share(4000, 1000, now)
-	if share := need.Share(0, 1000, now.Add(4*time.Second)); share < 0.4 {
-		t.Errorf("4 s after 4,000 items the share is %v", share)
+	var autoscaler Autoscaler
+	autoscaler.Share(4000, 1000, now)
+	if share := autoscaler.Share(0, 1000, now.Add(4*time.Second)); share < 0.4 {
+		t.Errorf("share 4 s after 4,000 open items: got %v, want at least 0.4", share)
 	}
 }
 
-// The number of workers must depend on the number of items, not of gateways: each worker lengthens the interval between reports.
+// InShare must select about the requested number of workers however many gateways there are, and a larger share must include a smaller one. More
+// workers mean longer intervals between reports.
 func TestInShare(t *testing.T) {
 	for _, processes := range []int{1000, 10000} {
-		chosen, smaller := 0, 0
+		chosen, missing := 0, 0
 		for n := range processes {
 			name := fmt.Sprintf("edge-bne-%d", n)
 			if InShare(name, 100/float64(processes)) {
 				chosen++
 			}
 			if InShare(name, 50/float64(processes)) && !InShare(name, 100/float64(processes)) {
-				smaller++
+				missing++
 			}
 		}
-		if chosen < 70 || chosen > 130 || smaller > 0 {
-			t.Errorf("%d of %d processes selected for a share of 100; %d of a smaller share not included", chosen, processes, smaller)
+		if chosen < 70 || chosen > 130 || missing > 0 {
+			t.Errorf("got %d of %d processes, want about 100; %d processes of the smaller share are missing from the larger", chosen, processes, missing)
 		}
 	}
 }
