--- a/internal/batchrpc/client.go
+++ b/internal/batchrpc/client.go
@@ -100,7 +100,7 @@
 }
 
 func (c *Client) residency(job *batch.Job) placement.Residency {
-	return jobresidency.Whole(c.State.View().Routes, job)
+	return jobresidency.OfJob(c.State.View().Routes, job)
 }
 
 // submitUntilAccepted repeats failed attempts for submitWait. once returns ErrUnavailable if the job may have been accepted, and ErrExcluded if
--- a/internal/batchrun/paths_test.go
+++ b/internal/batchrun/paths_test.go
@@ -245,7 +245,7 @@
 	if view.Routes == nil && view.Topology.MultiRegion() {
 		return false
 	}
-	return jobresidency.Whole(view.Routes, job).Allows(view.Topology.Region(coordinatorZone))
+	return jobresidency.OfJob(view.Routes, job).Allows(view.Topology.Region(coordinatorZone))
 }
 
 // lookup sends a lookup through the second worker's process.
--- a/internal/batchrun/residency.go
+++ b/internal/batchrun/residency.go
@@ -17,7 +17,7 @@
 // mayStore reports whether this process's region may store a job's bodies and texts.
 func (r *Runner) mayStore(j *batch.Job) bool {
 	view := r.State.View()
-	return jobresidency.Whole(view.Routes, j).Allows(view.Topology.Region(r.Zone))
+	return jobresidency.OfJob(view.Routes, j).Allows(view.Topology.Region(r.Zone))
 }
 
 // residencyUnknown reports whether the regions allowed for jobs are unknown: the deployment spans several regions, but no route table has arrived
@@ -46,7 +46,7 @@
 func (r *Runner) logExcluded(message string, j *batch.Job) {
 	view := r.State.View()
 	level.Warn(r.Logger).Log("msg", message, "request", j.ID, "tenant", j.Tenant, "region", view.Topology.Region(r.Zone),
-		"allowed", fmt.Sprint(jobresidency.Whole(view.Routes, j).RegionSets()))
+		"allowed", fmt.Sprint(jobresidency.OfJob(view.Routes, j).RegionSets()))
 }
 
 // loadExcluded loads the jobs that this region was not allowed to load at the start of the term, once a newer route table allows it. It returns when
--- a/internal/jobresidency/jobresidency.go
+++ b/internal/jobresidency/jobresidency.go
@@ -94,9 +94,9 @@
 	return append(slices.Clone(sets), set)
 }
 
-// Whole returns the residency of a process that keeps a job: the bounds of the job, its items and their reward calls, both the job's own and the
+// OfJob returns the residency of a process that keeps a job: the bounds of the job, its items and their reward calls, both the job's own and the
 // table's.
-func Whole(table *routing.Table, job *batch.Job) placement.Residency {
+func OfJob(table *routing.Table, job *batch.Job) placement.Residency {
 	bound := batch.Job{Host: job.Host, Path: job.Path, Tenant: job.Tenant, Items: job.Items, Regions: job.Regions, RewardRegions: job.RewardRegions}
 	Bind(table, &bound)
 	return placement.Residency{Accepted: slices.Concat(bound.Regions, bound.RewardRegions)}
--- a/internal/jobresidency/jobresidency_test.go
+++ b/internal/jobresidency/jobresidency_test.go
@@ -109,16 +109,16 @@
 	Convey("What it was accepted under binds beside a later table", t, func() {
 		job := newJob()
 		Bind(before, job)
-		So(Whole(before, job).Allows("north"), ShouldBeTrue)
-		So(Whole(before, job).Allows("south"), ShouldBeFalse)
-		So(Whole(after, job).Allows("north"), ShouldBeFalse)
-		So(Whole(after, job).Allows("south"), ShouldBeFalse)
-		So(Whole(nil, job).Allows("north"), ShouldBeTrue)
-		So(Whole(before, job).Allows(""), ShouldBeFalse)
+		So(OfJob(before, job).Allows("north"), ShouldBeTrue)
+		So(OfJob(before, job).Allows("south"), ShouldBeFalse)
+		So(OfJob(after, job).Allows("north"), ShouldBeFalse)
+		So(OfJob(after, job).Allows("south"), ShouldBeFalse)
+		So(OfJob(nil, job).Allows("north"), ShouldBeTrue)
+		So(OfJob(before, job).Allows(""), ShouldBeFalse)
 	})
 	Convey("A job of a version that noted no bounds is bound by the table alone", t, func() {
-		So(Whole(after, newJob()).Allows("south"), ShouldBeTrue)
-		So(Whole(tableOf(nil, batchRoute("a")), newJob()).Restricted(), ShouldBeFalse)
+		So(OfJob(after, newJob()).Allows("south"), ShouldBeTrue)
+		So(OfJob(tableOf(nil, batchRoute("a")), newJob()).Restricted(), ShouldBeFalse)
 	})
 	Convey("A reward's route binds who carries the run out, and not the engine of the item", t, func() {
 		narrow := judge
