--- a/internal/batchrun/engine_record.go
+++ b/internal/batchrun/engine_record.go
@@ -151,7 +151,7 @@
 func (e *engineRecord) runEnded(result itemwork.Verdict, now time.Time) {
 	e.running--
 	switch result {
-	case itemwork.VerdictWhole, itemwork.VerdictImpossible:
+	case itemwork.VerdictComplete, itemwork.VerdictImpossible:
 		e.failures, e.refusals = 0, 0
 	case itemwork.VerdictBroken, itemwork.VerdictFailed:
 		e.failures++
--- a/internal/batchrun/late_reward_test.go
+++ b/internal/batchrun/late_reward_test.go
@@ -35,7 +35,7 @@
 		So(started, ShouldHaveLength, 1)
 		time.Sleep(5 * time.Second)
 		worker.poll()
-		So(worker.sendReport(started[0], itemwork.VerdictWhole, itemwork.Judgement{}).Released, ShouldResemble, []itemwork.RunID{started[0].Run})
+		So(worker.sendReport(started[0], itemwork.VerdictComplete, itemwork.Judgement{}).Released, ShouldResemble, []itemwork.RunID{started[0].Run})
 	})
 }
 
--- a/internal/batchrun/report.go
+++ b/internal/batchrun/report.go
@@ -58,7 +58,7 @@
 	switch {
 	case report.End.Verdict == itemwork.VerdictNone:
 		return itemwork.Unwanted
-	case report.End.Verdict == itemwork.VerdictWhole && report.Judgement.State == itemwork.JudgementOpen:
+	case report.End.Verdict == itemwork.VerdictComplete && report.Judgement.State == itemwork.JudgementOpen:
 		return itemwork.TextOnly
 	}
 	return itemwork.Wanted
--- a/internal/batchrun/run_end.go
+++ b/internal/batchrun/run_end.go
@@ -27,10 +27,10 @@
 	switch {
 	case r.isDetached(ended):
 		ended.finished = true
-		it.text.Whole = verdict == itemwork.VerdictWhole
+		it.text.Whole = verdict == itemwork.VerdictComplete
 		r.endDetached(ended)
 	case ended.current():
-		ended.finished = verdict != itemwork.VerdictWhole
+		ended.finished = verdict != itemwork.VerdictComplete
 		r.continueItem(ended, report.End)
 	default:
 		ended.finished = true
@@ -42,7 +42,7 @@
 	it := ended.item
 	verdict := report.End.Verdict
 	line := level.Info(r.Logger)
-	if verdict == itemwork.VerdictWhole || verdict == itemwork.VerdictCanceled {
+	if verdict == itemwork.VerdictComplete || verdict == itemwork.VerdictCanceled {
 		line = level.Debug(r.Logger)
 	}
 	line.Log("msg", "attempt ended", "request", it.ID, "job", it.job.ID, "run", ended.id, "worker", ended.worker, "engine", ended.engine,
@@ -55,7 +55,7 @@
 	it := ended.item
 	now := r.now()
 	switch end.Verdict {
-	case itemwork.VerdictWhole:
+	case itemwork.VerdictComplete:
 		r.lengths.observe(it.ExpectedLength, it.text.Len())
 		it.text.Whole = true
 		it.phase = phaseScoring
--- a/internal/itemwork/executor.go
+++ b/internal/itemwork/executor.go
@@ -76,7 +76,7 @@
 	if !assignment.Text.Whole {
 		started := time.Now()
 		verdict, err := e.stream(ctx, assignment, sink)
-		if ctx.Err() != nil && verdict != VerdictWhole && verdict != VerdictOutdated {
+		if ctx.Err() != nil && verdict != VerdictComplete && verdict != VerdictOutdated {
 			verdict = VerdictCanceled
 		}
 		end := End{Verdict: verdict, Took: time.Since(started)}
@@ -86,7 +86,7 @@
 		var withheld *withheldError
 		end.Withheld = errors.As(err, &withheld) && withheld.reason != placement.EngineDraining
 		callReward := sink.StreamEnded(end)
-		if verdict != VerdictWhole || !callReward {
+		if verdict != VerdictComplete || !callReward {
 			return
 		}
 	}
@@ -144,7 +144,7 @@
 // broken stream is not counted.
 func (e *Executor) updateGuard(ctx context.Context, assignment *Assignment, verdict Verdict, err error) {
 	switch {
-	case verdict == VerdictWhole || verdict == VerdictImpossible:
+	case verdict == VerdictComplete || verdict == VerdictImpossible:
 		e.Guard.Completed(assignment.Item, assignment.Fingerprint)
 	case errors.Is(err, forward.ErrConnectionBroken) && ctx.Err() == nil:
 		e.Guard.ConnectionLost(assignment.Item, assignment.Fingerprint(), assignment.engine())
@@ -222,7 +222,7 @@
 	for {
 		event, err := events.Next()
 		if errors.Is(err, io.EOF) {
-			return VerdictWhole, nil
+			return VerdictComplete, nil
 		}
 		if err != nil {
 			return VerdictBroken, fmt.Errorf("%w: %w", forward.ErrConnectionBroken, err)
--- a/internal/itemwork/itemwork.go
+++ b/internal/itemwork/itemwork.go
@@ -78,8 +78,8 @@
 const (
 	// VerdictNone: the stream has not ended.
 	VerdictNone Verdict = iota
-	// VerdictWhole: the text is complete.
-	VerdictWhole
+	// VerdictComplete: the text is complete.
+	VerdictComplete
 	// VerdictBroken: the stream failed or never started; the item is retried elsewhere.
 	VerdictBroken
 	// VerdictRefused: the engine refused the item, or the item was not sent.
--- a/internal/itemwork/worker.go
+++ b/internal/itemwork/worker.go
@@ -272,7 +272,7 @@
 	run.reported = run.text.Len()
 	if run.text.Whole {
 		// An earlier run has completed the stream; only the reward call is left.
-		run.end.Verdict, run.verdictReported = VerdictWhole, VerdictWhole
+		run.end.Verdict, run.verdictReported = VerdictComplete, VerdictComplete
 	}
 	w.runs[assignment.Run] = run
 	w.runOrder = append(w.runOrder, assignment.Run)
--- a/internal/itemwork/worker_run.go
+++ b/internal/itemwork/worker_run.go
@@ -63,8 +63,8 @@
 	r.worker.mu.Lock()
 	defer r.worker.mu.Unlock()
 	r.end = end
-	r.text.Whole = end.Verdict == VerdictWhole
-	if end.Verdict != VerdictWhole {
+	r.text.Whole = end.Verdict == VerdictComplete
+	if end.Verdict != VerdictComplete {
 		level.Debug(r.worker.Logger).Log("msg", "run ended", "request", r.assignment.Item, "job", r.assignment.Job, "run", r.assignment.Run,
 			"engine", r.assignment.Engine.ID, "verdict", end.Verdict, "text_events", r.text.Len(), "term", r.worker.term, "err", end.Cause)
 	}
@@ -75,7 +75,7 @@
 // release lets the stream continue without a reward call, and cancels a reward call in progress. The worker's mutex must be held.
 func (r *workerRun) release() {
 	r.released = true
-	if r.end.Verdict == VerdictWhole {
+	if r.end.Verdict == VerdictComplete {
 		r.cancel()
 	}
 }
@@ -90,7 +90,7 @@
 
 // finished reports whether the run has ended, including its reward call.
 func (r *workerRun) finished() bool {
-	if r.end.Verdict != VerdictWhole {
+	if r.end.Verdict != VerdictComplete {
 		return r.end.Verdict != VerdictNone
 	}
 	return r.assignment.Reward == nil || r.released || r.judgement.State != JudgementOpen
