--- a/internal/batchrun/batchrun_test.go
+++ b/internal/batchrun/batchrun_test.go
@@ -40,10 +40,10 @@
 		results := h.results("job", 10*time.Second)
 		So(len(results), ShouldEqual, 1)
 		So(results[0].Text, ShouldEqual, h.completeText())
-		runs := h.engines.executionsOf("job-0")
-		So(len(runs), ShouldEqual, 3)
-		So(runs[1].from, ShouldEqual, 7)
-		So(runs[2].from, ShouldEqual, 14)
+		executions := h.engines.executionsOf("job-0")
+		So(len(executions), ShouldEqual, 3)
+		So(executions[1].from, ShouldEqual, 7)
+		So(executions[2].from, ShouldEqual, 14)
 	})
 	runScenario(t, "An item on a silent engine is retried elsewhere within 2 s", func(h *harness) {
 		h.engines.setBehavior("a", engineBehavior{silent: true})
@@ -61,9 +61,9 @@
 		So(len(results), ShouldEqual, 8)
 		for _, r := range results {
 			So(r.Text, ShouldEqual, h.completeText())
-			runs := h.engines.executionsOf(r.ID)
-			for i := 1; i < len(runs); i++ {
-				So(runs[i].at, ShouldHappenOnOrAfter, runs[i-1].ended)
+			executions := h.engines.executionsOf(r.ID)
+			for i := 1; i < len(executions); i++ {
+				So(executions[i].at, ShouldHappenOnOrAfter, executions[i-1].ended)
 			}
 		}
 	})
@@ -152,16 +152,16 @@
 		}
 		time.Sleep(10 * time.Second)
 		So(h.engines.count(), ShouldEqual, started)
-		reading, err := h.runner.Read(context.Background(), batch.Ref{ID: "job"}, 0, 0)
+		page, err := h.runner.Read(context.Background(), batch.Ref{ID: "job"}, 0, 0)
 		So(err, ShouldBeNil)
-		So(reading.Total, ShouldEqual, 4)
+		So(page.Total, ShouldEqual, 4)
 		Convey("and a carried-over item resumes from the kept text", func() {
-			again := newJob("job2", 0)
-			again.Items = newJob("job", 4).Items
-			So(h.runner.Submit(context.Background(), again), ShouldBeNil)
+			later := newJob("job2", 0)
+			later.Items = newJob("job", 4).Items
+			So(h.runner.Submit(context.Background(), later), ShouldBeNil)
 			So(len(h.results("job2", 10*time.Second)), ShouldEqual, 4)
-			runs := h.engines.executionsOf("job-0")
-			So(runs[len(runs)-1].from, ShouldBeGreaterThan, 20)
+			executions := h.engines.executionsOf("job-0")
+			So(executions[len(executions)-1].from, ShouldBeGreaterThan, 20)
 		})
 	})
 	runScenario(t, "An ended job is kept for its retention, also by a later term, and then removed from the store", func(h *harness) {
@@ -227,15 +227,15 @@
 		h.runner, h.stop = h.startTerm(2)
 		defer stopEarlier()
 		So(len(h.results("job", 5*time.Second)), ShouldEqual, 4)
-		reading, err := earlier.Read(context.Background(), batch.Ref{ID: "job"}, 0, 0)
+		page, err := earlier.Read(context.Background(), batch.Ref{ID: "job"}, 0, 0)
 		if err == nil {
-			So(reading.Results, ShouldBeEmpty)
+			So(page.Results, ShouldBeEmpty)
 		} else {
 			So(err, ShouldEqual, batch.ErrUnavailable)
 		}
 		So(earlier.End(context.Background(), batch.Ref{ID: "job"}), ShouldEqual, batch.ErrUnavailable)
 	})
-	runScenario(t, "A kept text that a newer minimum version rules out is generated again", func(h *harness) {
+	runScenario(t, "A partial text with weights older than the later job's minimum version is generated again", func(h *harness) {
 		h.engines.events = 200
 		So(h.runner.Submit(context.Background(), newJob("job", 2)), ShouldBeNil)
 		time.Sleep(3 * time.Second)
@@ -247,10 +247,10 @@
 			{ID: "b", Service: "pool", Slots: 8, Ready: true, Versions: map[string]int64{model: 2}},
 			{ID: "j", Service: "judges", Slots: 8, Ready: true},
 		})
-		again := newJob("job2", 0)
-		again.Items = newJob("job", 2).Items
-		again.MinVersion = 2
-		So(h.runner.Submit(context.Background(), again), ShouldBeNil)
+		later := newJob("job2", 0)
+		later.Items = newJob("job", 2).Items
+		later.MinVersion = 2
+		So(h.runner.Submit(context.Background(), later), ShouldBeNil)
 		results := h.results("job2", 8*time.Second)
 		So(len(results), ShouldEqual, 2)
 		for _, r := range results {
@@ -287,8 +287,8 @@
 			Logger:    log.NewNopLogger(),
 		})
 		ctx, cancel := context.WithCancel(context.Background())
-		var leading sync.WaitGroup
-		leading.Go(func() { h.runner.Lead(ctx, 1) })
+		var goroutines sync.WaitGroup
+		goroutines.Go(func() { h.runner.Lead(ctx, 1) })
 		time.Sleep(time.Second)
 		Convey("Results whose writes timed out are listed once after the store recovers", t, func() {
 			So(h.runner.Submit(context.Background(), newJob("job", 4)), ShouldBeNil)
@@ -298,7 +298,7 @@
 			So(len(h.results("job", 5*time.Second)), ShouldEqual, 4)
 		})
 		cancel()
-		leading.Wait()
+		goroutines.Wait()
 	})
 }
 
--- a/internal/batchrun/cold_test.go
+++ b/internal/batchrun/cold_test.go
@@ -37,15 +37,15 @@
 	warmth := coldstart.NewTracker(h.state, boottime.Now, log.NewNopLogger())
 	keeper := coldstart.NewLimiter(coldstart.LimiterParams{Rate: warmth.Rate, LeaseConfirmedAt: boottime.Now, Now: boottime.Now, Logger: log.NewNopLogger()})
 	h.quota = coldstart.LocalQuota{Tracker: warmth, Limiter: keeper}
-	var leading sync.WaitGroup
-	leading.Go(func() { keeper.Lead(ctx) })
-	leading.Go(func() { warmth.Run(ctx) })
+	var goroutines sync.WaitGroup
+	goroutines.Go(func() { keeper.Lead(ctx) })
+	goroutines.Go(func() { warmth.Run(ctx) })
 	h.startTerm(2)
-	return &leading
+	return &goroutines
 }
 
 // peakRate returns the highest number of runs started at an engine within one second before a moment, and the total.
-func (e *fakeEngines) peakRate(engine string, until time.Time) (worst, all int) {
+func (e *fakeEngines) peakRate(engine string, until time.Time) (peak, total int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var started []time.Time
@@ -60,9 +60,9 @@
 		for at.Sub(started[first]) > time.Second {
 			first++
 		}
-		worst = max(worst, i-first+1)
+		peak = max(peak, i-first+1)
 	}
-	return worst, len(started)
+	return peak, len(started)
 }
 
 func runColdScenario(t *testing.T, name string, scenario func(h *workerHarness, ctx context.Context)) {
@@ -88,18 +88,18 @@
 	runColdScenario(t, "Items start at a cold engine within its rate, and all at once when it is warm", func(h *workerHarness, _ context.Context) {
 		submit(h)
 		So(h.results("job", 20*time.Second), ShouldHaveLength, items)
-		worst, all := h.engines.peakRate("a", h.warmAt)
-		So(worst, ShouldBeBetweenOrEqual, 2, coldRate+1)
-		So(all, ShouldBeBetweenOrEqual, 6, 16)
+		peak, total := h.engines.peakRate("a", h.warmAt)
+		So(peak, ShouldBeBetweenOrEqual, 2, coldRate+1)
+		So(total, ShouldBeBetweenOrEqual, 6, 16)
 	})
 	runColdScenario(t, "Runs of workers stay within the same rate", func(h *workerHarness, _ context.Context) {
 		stop := h.startWorker("w")
 		defer stop()
 		submit(h)
 		So(h.results("job", 20*time.Second), ShouldHaveLength, items)
-		worst, all := h.engines.peakRate("a", h.warmAt)
-		So(worst, ShouldBeBetweenOrEqual, 2, coldRate+1)
-		So(all, ShouldBeBetweenOrEqual, 6, 16)
+		peak, total := h.engines.peakRate("a", h.warmAt)
+		So(peak, ShouldBeBetweenOrEqual, 2, coldRate+1)
+		So(total, ShouldBeBetweenOrEqual, 6, 16)
 	})
 	runColdScenario(t, "A run that reaches its worker after its grant has expired is not sent, and its item runs later", func(h *workerHarness, _ context.Context) {
 		stop := h.startWorker("w")
@@ -109,8 +109,8 @@
 		h.pollDelay.Store(int64(time.Second))
 		submit(h)
 		time.Sleep(2 * time.Second)
-		_, all := h.engines.peakRate("a", time.Now())
-		So(all, ShouldEqual, 0)
+		_, total := h.engines.peakRate("a", time.Now())
+		So(total, ShouldEqual, 0)
 		h.pollDelay.Store(0)
 		So(h.results("job", 20*time.Second), ShouldHaveLength, items)
 	})
--- a/internal/batchrun/draining_test.go
+++ b/internal/batchrun/draining_test.go
@@ -156,15 +156,15 @@
 				}
 				ended[one] = true
 			}
-			var left []evacuatedRun
+			var remaining []evacuatedRun
 			for _, evacuated := range runs {
 				if !ended[evacuated.run] {
-					left = append(left, evacuated)
+					remaining = append(remaining, evacuated)
 				} else if !evacuated.mustEnd() {
 					early++
 				}
 			}
-			runs = left
+			runs = remaining
 		}
 		if early > initial {
 			t.Fatalf("%d runs ended before the deadline with %d free slots", early, initial)
--- a/internal/batchrun/evacuation_test.go
+++ b/internal/batchrun/evacuation_test.go
@@ -18,7 +18,7 @@
 
 const (
 	evacuateTime = 5 * time.Second
-	// drainTime is how soon after learning of the evacuation the coordinator must have drained a zone.
+	// drainTime is how soon after receiving an evacuation the coordinator must have drained the zone.
 	drainTime = 2 * time.Second
 	// cancelLatency bounds how long a cancellation takes to reach an engine.
 	cancelLatency = 50 * time.Millisecond
@@ -92,8 +92,8 @@
 	h.evacuate(2)
 }
 
-// shouldBeWholeJob checks that each item of a job has its complete text, and that each run resumed where the previous one ended.
-func (h *harness) shouldBeWholeJob(id string, results []batch.Result, items int) {
+// shouldBeCompleteJob checks that each item of a job has its complete text, and that each run resumed where the previous one ended.
+func (h *harness) shouldBeCompleteJob(id string, results []batch.Result, items int) {
 	So(results, ShouldHaveLength, items)
 	for _, result := range results {
 		So(result.State, ShouldEqual, batch.Done)
@@ -116,7 +116,7 @@
 		time.Sleep(3*drainTime/4 + cancelLatency)
 		So(h.engines.activeAt("a"), ShouldEqual, 0)
 		results := h.results("job", 6*time.Second)
-		h.shouldBeWholeJob("job", results, 6)
+		h.shouldBeCompleteJob("job", results, 6)
 		for _, r := range h.engines.executionsAt("a") {
 			So(r.at, ShouldHappenBefore, asked)
 		}
@@ -131,7 +131,7 @@
 		time.Sleep(200 * time.Millisecond)
 		h.evacuate(2, "zone-a")
 		results := h.results("job", 2*time.Second)
-		h.shouldBeWholeJob("job", results, 3)
+		h.shouldBeCompleteJob("job", results, 3)
 		So(h.engines.executionsAt("b"), ShouldBeEmpty)
 	})
 	runEvacuationScenario(t, "Without free slots elsewhere runs stay until the deadline, and are ended then", evacuateTime, func(h *harness) {
@@ -144,7 +144,7 @@
 		So(h.engines.activeAt("a"), ShouldEqual, 0)
 		h.listZonedEngines(8)
 		h.engines.setBehavior("b", engineBehavior{pause: 20 * time.Millisecond})
-		h.shouldBeWholeJob("job", h.results("job", 8*time.Second), 4)
+		h.shouldBeCompleteJob("job", h.results("job", 8*time.Second), 4)
 	})
 	runEvacuationScenario(t, "A restored zone keeps its runs; a second evacuation has its own deadline", evacuateTime, func(h *harness) {
 		h.fillZoneA(4, 400)
@@ -212,10 +212,10 @@
 		results := h.results("two", 6*time.Second)
 		So(results, ShouldHaveLength, 1)
 		So(results[0].Text, ShouldEqual, h.completeText())
-		runs := h.engines.executionsOf("one-0")
-		So(runs, ShouldHaveLength, 2)
-		So(runs[1].engine, ShouldEqual, "b")
-		So(runs[1].from, ShouldBeGreaterThan, 80)
+		executions := h.engines.executionsOf("one-0")
+		So(executions, ShouldHaveLength, 2)
+		So(executions[1].engine, ShouldEqual, "b")
+		So(executions[1].from, ShouldBeGreaterThan, 80)
 	})
 	runEvacuationScenario(t, "An engine that starts in an evacuated zone receives no items until the zone is restored", evacuateTime, func(h *harness) {
 		h.engines.events = 20
@@ -229,7 +229,7 @@
 		time.Sleep(time.Second)
 		So(h.engines.executionsAt("a2"), ShouldBeEmpty)
 		h.evacuate(2, "zone-b")
-		h.shouldBeWholeJob("job", h.results("job", 2*time.Second), 1)
+		h.shouldBeCompleteJob("job", h.results("job", 2*time.Second), 1)
 	})
 }
 
@@ -300,7 +300,7 @@
 		time.Sleep(drainTime + cancelLatency)
 		So(h.engines.activeAt("a"), ShouldEqual, 0)
 		results := h.results("job", 6*time.Second)
-		h.shouldBeWholeJob("job", results, 6)
+		h.shouldBeCompleteJob("job", results, 6)
 		So(h.engines.executionsOf("job-0"), ShouldHaveLength, 2)
 	})
 	// The worker polls for the next term every 150 ms. The delays place its reports before, at and after the second scheduling pass of the term.
@@ -319,7 +319,7 @@
 			h.evacuate(3, "zone-a")
 			h.startTerm(3)
 			So(h.engines.activeAt("a"), ShouldEqual, 0)
-			h.shouldBeWholeJob("job", h.results("job", 8*time.Second), 4)
+			h.shouldBeCompleteJob("job", h.results("job", 8*time.Second), 4)
 		})
 	}
 }
@@ -347,7 +347,7 @@
 		}
 		So(canceled, ShouldResemble, []itemwork.RunID{started[0].Run})
 	})
-	runWorkerScenario(t, "A run withheld by a worker puts no backoff on the engine: other items are sent there, and the item itself later", func(h *workerHarness) {
+	runWorkerScenario(t, "A run that a worker's placement filter refused puts no backoff on the engine: other items are sent there, and its own item later", func(h *workerHarness) {
 		h.removeEngineB()
 		worker := h.newScriptedWorker()
 		h.submitJob(newStep("job", 0, 1, 0, 7500))
--- a/internal/batchrun/harness_test.go
+++ b/internal/batchrun/harness_test.go
@@ -125,7 +125,7 @@
 }
 
 func (e *fakeEngines) stream(ctx context.Context, writer *io.PipeWriter, b engineBehavior, after int64) error {
-	made := 0
+	sent := 0
 	for number := after + 1; number <= int64(e.events); number++ {
 		pause := b.pause
 		if b.silent {
@@ -136,10 +136,10 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		if b.breakAfter > 0 && made == b.breakAfter {
+		if b.breakAfter > 0 && sent == b.breakAfter {
 			return io.ErrUnexpectedEOF
 		}
-		made++
+		sent++
 		if _, err := fmt.Fprintf(writer, "id: %d\ndata: e%d\n\n", number, number); err != nil {
 			return err
 		}
@@ -233,9 +233,9 @@
 // results waits for the given time and returns all results listed by then.
 func (h *harness) results(id string, within time.Duration) []batch.Result {
 	time.Sleep(within)
-	reading, err := h.runner.Read(context.Background(), batch.Ref{ID: id}, 0, 0)
+	page, err := h.runner.Read(context.Background(), batch.Ref{ID: id}, 0, 0)
 	So(err, ShouldBeNil)
-	return reading.Results
+	return page.Results
 }
 
 func (h *harness) completeText() string {
--- a/internal/batchrun/late_reward_test.go
+++ b/internal/batchrun/late_reward_test.go
@@ -28,7 +28,7 @@
 		time.Sleep(10 * time.Second)
 		So(h.engines.executionsOf("reward-j-0"), ShouldBeEmpty)
 	})
-	runWorkerScenario(t, "The reply to its report releases the run", func(h *workerHarness) {
+	runWorkerScenario(t, "The reply to the report of a run that was given up drops its reward call", func(h *workerHarness) {
 		worker := h.newScriptedWorker()
 		h.submit("j", 1)
 		started := worker.pollFor(1)
@@ -63,7 +63,7 @@
 			calls := len(h.engines.executionsOf("reward-j-0"))
 			h.pollDelay.Store(int64(400 * time.Millisecond))
 			h.disconnected.Store(false)
-			h.shouldBeWhole(h.results("k", 2*time.Second), 1)
+			h.shouldBeComplete(h.results("k", 2*time.Second), 1)
 			So(h.engines.executionsOf("reward-j-0"), ShouldHaveLength, calls)
 			So(h.engines.executionsOf("reward-k-0"), ShouldHaveLength, 1)
 		})
--- a/internal/batchrun/lengths_test.go
+++ b/internal/batchrun/lengths_test.go
@@ -23,8 +23,8 @@
 			m.observe(events*50, events)
 		}
 		previous := 0.0
-		for _, made := range []int{0, 10, 20, 60, 120} {
-			expected := float64(made) + m.remaining(500, made)
+		for _, produced := range []int{0, 10, 20, 60, 120} {
+			expected := float64(produced) + m.remaining(500, produced)
 			So(expected, ShouldBeGreaterThan, previous)
 			So(expected, ShouldBeLessThanOrEqualTo, 165)
 			previous = expected
@@ -48,9 +48,9 @@
 			m.observe(0, 12)
 		}
 		So(m.remaining(0, 0), ShouldBeBetween, 11, 25)
-		for _, made := range []int{0, 1, 1000, 100000} {
-			So(math.IsNaN(m.remaining(0, made)), ShouldBeFalse)
-			So(m.remaining(0, made), ShouldBeGreaterThanOrEqualTo, 1)
+		for _, produced := range []int{0, 1, 1000, 100000} {
+			So(math.IsNaN(m.remaining(0, produced)), ShouldBeFalse)
+			So(m.remaining(0, produced), ShouldBeGreaterThanOrEqualTo, 1)
 		}
 	})
 }
--- a/internal/batchrun/policy_test.go
+++ b/internal/batchrun/policy_test.go
@@ -89,9 +89,9 @@
 		h.endAfterRenewal()
 		h.engines.setBehavior("b", engineBehavior{pause: 20 * time.Millisecond, version: 2})
 		time.Sleep(10 * time.Second)
-		runs := h.engines.executionsOf("one-0")
-		So(runs, ShouldHaveLength, 2)
-		So(runs[1].ended, ShouldNotEqual, time.Time{})
+		executions := h.engines.executionsOf("one-0")
+		So(executions, ShouldHaveLength, 2)
+		So(executions[1].ended, ShouldNotEqual, time.Time{})
 		So(h.engines.executionsOf("reward-one-0"), ShouldBeEmpty)
 	})
 	runScenario(t, "A carried-over group is never restarted, because the trainer waits for it", func(h *harness) {
@@ -100,15 +100,15 @@
 		h.submitJob(newStep("one", 0, 1, 1, 5000, 500))
 		time.Sleep(500 * time.Millisecond)
 		So(h.runner.End(context.Background(), batch.Ref{ID: "one"}), ShouldBeNil)
-		again := newStep("two", 1, 1, 1, 0, 500)
-		again.Items[0] = newStep("one", 0, 1, 1, 5000).Items[0]
-		h.submitJob(again)
+		later := newStep("two", 1, 1, 1, 0, 500)
+		later.Items[0] = newStep("one", 0, 1, 1, 5000).Items[0]
+		h.submitJob(later)
 		h.engines.setBehavior("b", engineBehavior{pause: 20 * time.Millisecond, version: 2})
 		h.listPool(map[string]int64{"a": 1, "b": 2})
 		time.Sleep(700 * time.Millisecond)
-		runs := h.engines.executionsOf("one-0")
-		So(runs[len(runs)-1].from, ShouldBeGreaterThan, 0)
-		So(runs, ShouldHaveLength, 2)
+		executions := h.engines.executionsOf("one-0")
+		So(executions[len(executions)-1].from, ShouldBeGreaterThan, 0)
+		So(executions, ShouldHaveLength, 2)
 	})
 	runScenario(t, "After a change of coordinator the first groups of a job, which may be carried over, are not restarted", func(h *harness) {
 		h.engines.events = 100
@@ -119,8 +119,8 @@
 		h.engines.setBehavior("b", engineBehavior{pause: 20 * time.Millisecond, version: 2})
 		h.listPool(map[string]int64{"a": 1, "b": 2})
 		time.Sleep(time.Second)
-		runs := h.engines.executionsOf("five-0")
-		So(runs[len(runs)-1].engine, ShouldEqual, "a")
+		executions := h.engines.executionsOf("five-0")
+		So(executions[len(executions)-1].engine, ShouldEqual, "a")
 	})
 }
 
@@ -151,10 +151,10 @@
 		results := h.results("job", 9*time.Second)
 		So(results, ShouldHaveLength, 2)
 		So(h.engines.executionsOf("job-1"), ShouldHaveLength, 1)
-		runs := h.engines.executionsOf("job-0")
-		So(runs, ShouldHaveLength, 2)
-		So(runs[1].engine, ShouldEqual, "b")
-		So(runs[1].from, ShouldBeGreaterThan, 90)
+		executions := h.engines.executionsOf("job-0")
+		So(executions, ShouldHaveLength, 2)
+		So(executions[1].engine, ShouldEqual, "b")
+		So(executions[1].from, ShouldBeGreaterThan, 90)
 		So(results[1].Text, ShouldEqual, h.completeText())
 	})
 	runScenario(t, "An engine without observations does not count as faster", func(h *harness) {
@@ -170,7 +170,7 @@
 }
 
 func TestCheckpoints(t *testing.T) {
-	begin := func(h *harness, route routing.Route) {
+	runInterruptedTerm := func(h *harness, route routing.Route) {
 		h.stop()
 		h.textFolder = t.TempDir()
 		h.runner, h.stop = h.startTerm(2)
@@ -180,7 +180,7 @@
 		h.stop()
 	}
 	runScenario(t, "Unfinished texts survive the process: the next term resumes from the checkpoint", func(h *harness) {
-		begin(h, routing.Route{})
+		runInterruptedTerm(h, routing.Route{})
 		h.runner, h.stop = h.startTerm(3)
 		results := h.results("job", 6*time.Second)
 		So(results, ShouldHaveLength, 2)
@@ -188,20 +188,20 @@
 			So(result.Text, ShouldEqual, h.completeText())
 		}
 		for _, id := range []string{"job-0", "job-1"} {
-			runs := h.engines.executionsOf(id)
-			So(runs, ShouldHaveLength, 2)
-			So(runs[1].from, ShouldBeGreaterThan, 50)
+			executions := h.engines.executionsOf(id)
+			So(executions, ShouldHaveLength, 2)
+			So(executions[1].from, ShouldBeGreaterThan, 50)
 		}
 	})
 	runScenario(t, "Without the checkpoint the texts are generated again", func(h *harness) {
-		begin(h, routing.Route{})
+		runInterruptedTerm(h, routing.Route{})
 		h.textFolder = t.TempDir()
 		h.runner, h.stop = h.startTerm(3)
 		So(h.results("job", 8*time.Second), ShouldHaveLength, 2)
 		So(h.engines.executionsOf("job-0")[1].from, ShouldEqual, 0)
 	})
-	runScenario(t, "An outdated checkpoint, behind the progress of another term, does no harm", func(h *harness) {
-		begin(h, routing.Route{})
+	runScenario(t, "An outdated checkpoint, behind the progress of another term, loses and duplicates no events", func(h *harness) {
+		runInterruptedTerm(h, routing.Route{})
 		old := h.textFolder
 		h.textFolder = t.TempDir()
 		h.runner, h.stop = h.startTerm(3)
@@ -216,7 +216,7 @@
 		}
 	})
 	runScenario(t, "A checkpoint that a later job may not use is ignored", func(h *harness) {
-		begin(h, routing.Route{})
+		runInterruptedTerm(h, routing.Route{})
 		h.runner, h.stop = h.startTerm(3)
 		So(h.runner.End(context.Background(), batch.Ref{ID: "job"}), ShouldBeNil)
 		h.stop()
--- a/internal/batchrun/remote_test.go
+++ b/internal/batchrun/remote_test.go
@@ -103,7 +103,7 @@
 	So(h.runner.Submit(context.Background(), newJob(id, items)), ShouldBeNil)
 }
 
-func (h *workerHarness) shouldBeWhole(results []batch.Result, items int) {
+func (h *workerHarness) shouldBeComplete(results []batch.Result, items int) {
 	So(len(results), ShouldEqual, items)
 	for _, result := range results {
 		So(result, ShouldResemble, batch.Result{ID: result.ID, Text: h.completeText(), Versions: []int64{1}, Score: "signed"})
@@ -147,7 +147,7 @@
 		So(h.engines.count(), ShouldEqual, 0)
 		h.quota = nil
 		h.startTerm(3)
-		h.shouldBeWhole(h.results("j", 3*time.Second), 1)
+		h.shouldBeComplete(h.results("j", 3*time.Second), 1)
 		So(len(h.engines.executionsOf("j-0")), ShouldEqual, 1)
 	})
 }
@@ -157,7 +157,7 @@
 		defer h.startWorker("one")()
 		defer h.startWorker("two")()
 		h.submit("j", 6)
-		h.shouldBeWhole(h.results("j", 2*time.Second), 6)
+		h.shouldBeComplete(h.results("j", 2*time.Second), 6)
 		for i := range 6 {
 			So(len(h.engines.executionsOf(fmt.Sprintf("j-%d", i))), ShouldEqual, 1)
 		}
@@ -170,7 +170,7 @@
 		h.stop()
 		time.Sleep(500 * time.Millisecond)
 		h.startTerm(2)
-		h.shouldBeWhole(h.results("j", 3*time.Second), 4)
+		h.shouldBeComplete(h.results("j", 3*time.Second), 4)
 		for i := range 4 {
 			So(len(h.engines.executionsOf(fmt.Sprintf("j-%d", i))), ShouldEqual, 1)
 		}
@@ -180,10 +180,10 @@
 		h.submit("j", 1)
 		time.Sleep(150 * time.Millisecond)
 		stop()
-		h.shouldBeWhole(h.results("j", 4*time.Second), 1)
-		runs := h.engines.executionsOf("j-0")
-		So(len(runs), ShouldEqual, 2)
-		So(runs[1].from, ShouldBeGreaterThan, 3)
+		h.shouldBeComplete(h.results("j", 4*time.Second), 1)
+		executions := h.engines.executionsOf("j-0")
+		So(len(executions), ShouldEqual, 2)
+		So(executions[1].from, ShouldBeGreaterThan, 3)
 	})
 	runWorkerScenario(t, "The items of a lost worker resume elsewhere within 2 s, after their last reported event", func(h *workerHarness) {
 		defer h.startWorker("one")()
@@ -193,10 +193,10 @@
 		time.Sleep(700 * time.Millisecond)
 		h.disconnected.Store(true)
 		time.Sleep(2500 * time.Millisecond)
-		runs := h.engines.executionsOf("j-0")
-		So(len(runs), ShouldEqual, 2)
-		So(runs[1].from, ShouldBeGreaterThan, 2)
-		h.shouldBeWhole(h.results("j", 2*time.Second), 1)
+		executions := h.engines.executionsOf("j-0")
+		So(len(executions), ShouldEqual, 2)
+		So(executions[1].from, ShouldBeGreaterThan, 2)
+		h.shouldBeComplete(h.results("j", 2*time.Second), 1)
 	})
 	runWorkerScenario(t, "A worker without contact to the coordinator starts no reward call", func(h *workerHarness) {
 		defer h.startWorker("one")()
@@ -211,7 +211,7 @@
 		So(h.engines.executionsOf("reward-j-0"), ShouldBeEmpty)
 		h.disconnected.Store(false)
 		h.startTerm(2)
-		h.shouldBeWhole(h.results("j", time.Second), 1)
+		h.shouldBeComplete(h.results("j", time.Second), 1)
 		So(len(h.engines.executionsOf("reward-j-0")), ShouldEqual, 1)
 	})
 }
@@ -274,7 +274,7 @@
 		time.Sleep(500 * time.Millisecond)
 		So(h.engines.executionsOf("j-0"), ShouldHaveLength, 2)
 		h.disconnected.Store(false)
-		h.shouldBeWhole(h.results("j", 2*time.Second), 1)
+		h.shouldBeComplete(h.results("j", 2*time.Second), 1)
 	})
 }
 
--- a/internal/batchrun/residency_test.go
+++ b/internal/batchrun/residency_test.go
@@ -13,7 +13,7 @@
 	"github.com/covelink/covelink/internal/routing"
 )
 
-// runRegionScenario runs a scenario with a coordinator in region north, engines in south, and routes without region bounds at first.
+// runRegionScenario runs a scenario with a coordinator in region north, engines in south, and routes without region restrictions at first.
 func runRegionScenario(t *testing.T, name string, scenario func(h *workerHarness)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -27,8 +27,8 @@
 	})
 }
 
-// bind sets the allowed regions of the items' route and of the judges' route.
-func (h *workerHarness) bind(items, judges []string) {
+// restrictRegions sets the allowed regions of the items' route and of the judges' route.
+func (h *workerHarness) restrictRegions(items, judges []string) {
 	old := h.state.View().Routes
 	var routes []routing.Route
 	for _, route := range old.Routes() {
@@ -60,7 +60,7 @@
 	So(h.engines.count(), ShouldEqual, 0)
 	h.workerZone = "s"
 	defer h.startWorker("south")()
-	h.shouldBeWhole(h.results("j", 5*time.Second), 3)
+	h.shouldBeComplete(h.results("j", 5*time.Second), 3)
 }
 
 func TestResidencyOfRuns(t *testing.T) {
@@ -68,20 +68,20 @@
 	runRegionScenario(t, "Items that this process may not run wait for a worker that may; workers elsewhere do not receive them", func(h *workerHarness) {
 		h.state.SetEngineList(nil)
 		h.submit("j", 3)
-		h.bind(south, nil)
+		h.restrictRegions(south, nil)
 		h.shouldRunInSouth()
 		So(len(h.engines.executionsOf("j-0")), ShouldEqual, 1)
 	})
 	runRegionScenario(t, "The reward's route restricts which worker executes the run, like the item's route", func(h *workerHarness) {
 		h.state.SetEngineList(nil)
 		h.submit("j", 3)
-		h.bind(nil, south)
+		h.restrictRegions(nil, south)
 		h.shouldRunInSouth()
 	})
 	runRegionScenario(t, "An aborted reward call is made by a worker in an allowed region, not by this process", func(h *workerHarness) {
 		h.state.SetEngineList(nil)
 		h.submit("j", 1)
-		h.bind(south, nil)
+		h.restrictRegions(south, nil)
 		h.listEngines()
 		h.engines.setBehavior("j", engineBehavior{hangs: true})
 		stop := h.startWorker("south")
@@ -93,12 +93,12 @@
 		So(h.results("j", 5*time.Second), ShouldBeEmpty)
 		So(len(h.engines.executionsOf("reward-j-0")), ShouldEqual, calls)
 		defer h.startWorker("south again")()
-		h.shouldBeWhole(h.results("j", 5*time.Second), 1)
+		h.shouldBeComplete(h.results("j", 5*time.Second), 1)
 		So(len(h.engines.executionsOf("reward-j-0")), ShouldEqual, calls+1)
 		So(len(h.engines.executionsOf("j-0")), ShouldEqual, 1)
 	})
 	runRegionScenario(t, "A job whose reward calls may not be in this region is refused", func(h *workerHarness) {
-		h.bind(nil, south)
+		h.restrictRegions(nil, south)
 		So(h.runner.Submit(context.Background(), newJob("j", 2)), ShouldEqual, batch.ErrExcluded)
 		withoutReward := newJob("k", 1)
 		withoutReward.Items[0].Reward = nil
--- a/internal/batchrun/subset_test.go
+++ b/internal/batchrun/subset_test.go
@@ -32,8 +32,8 @@
 	return runner, state.View().Routes.Match("h", "/")
 }
 
-func itemOf(model string, least int64) *item {
-	return &item{Item: batch.Item{ID: "i"}, job: &job{Job: batch.Job{Model: model, MinVersion: least}}}
+func itemOf(model string, minVersion int64) *item {
+	return &item{Item: batch.Item{ID: "i"}, job: &job{Job: batch.Job{Model: model, MinVersion: minVersion}}}
 }
 
 // Guards against scheduling passes whose cost grows with the number of engines.
--- a/internal/batchrun/unfinished_test.go
+++ b/internal/batchrun/unfinished_test.go
@@ -29,12 +29,12 @@
 	})
 	Convey("Texts of older weights than a version are dropped for that model only", t, func() {
 		texts := newUnfinishedTexts()
-		made := func(version int64) itemwork.Text {
+		textOfVersion := func(version int64) itemwork.Text {
 			return itemwork.Text{Segments: []itemwork.Segment{{Version: version, Events: []string{"x"}}}}
 		}
-		texts.put(unfinishedText{key: "old", model: "a", text: made(1)})
-		texts.put(unfinishedText{key: "new", model: "a", text: made(2)})
-		texts.put(unfinishedText{key: "other", model: "b", text: made(1)})
+		texts.put(unfinishedText{key: "old", model: "a", text: textOfVersion(1)})
+		texts.put(unfinishedText{key: "new", model: "a", text: textOfVersion(2)})
+		texts.put(unfinishedText{key: "other", model: "b", text: textOfVersion(1)})
 		texts.dropOutdated("a", 2)
 		_, old := texts.take("old")
 		_, newer := texts.take("new")
