--- a/internal/batchrun/groups.go
+++ b/internal/batchrun/groups.go
@@ -24,7 +24,7 @@
 	return !slices.ContainsFunc(g.items, func(it *item) bool { return it.phase != phaseFinished })
 }
 
-// carriedOver reports whether the group was carried over from an earlier job. Its trainer waits for it in any case.
+// carriedOver reports whether the group was carried over from an earlier job. Its trainer always waits for such a group.
 func (g *itemGroup) carriedOver() bool {
 	return slices.ContainsFunc(g.items, func(it *item) bool { return it.carriedOver })
 }
@@ -58,7 +58,7 @@
 // groupForecast holds the criteria for whether a trainer is expected to wait for a group.
 type groupForecast struct {
 	finished bool
-	// required is true for a group that the trainer waits for in any case. renewed is true for a group that was restarted and will complete too late
+	// required is true for a group that the trainer always waits for. renewed is true for a group that was restarted and will complete too late
 	// for this job.
 	required, renewed bool
 	timeLeft          time.Duration
--- a/internal/batchrun/job.go
+++ b/internal/batchrun/job.go
@@ -75,7 +75,7 @@
 	runs     []itemwork.RunID
 	// noWorkerLogged limits the log line about missing workers in allowed regions to one per job.
 	noWorkerLogged bool
-	// ended is true once the end was requested, and sealed once the end is durable.
+	// ended is true once the end was requested, and sealed is true once the end is durable.
 	ended  bool
 	sealed bool
 	// listed holds the durable results, by position.
--- a/internal/batchrun/observer.go
+++ b/internal/batchrun/observer.go
@@ -6,12 +6,12 @@
 	"github.com/covelink/covelink/internal/batch"
 )
 
-// HandOver is the reason why an item changes its run, or a run its job. Its value is the name in metrics.
+// HandOver is the reason why an item is assigned another run, or a run another job. Its value is the reason's name in metrics.
 type HandOver string
 
 // Reasons for a hand-over.
 const (
-	// HandOverSlow means that the item left a slow engine and resumes elsewhere.
+	// HandOverSlow means that the item was moved from a slow engine and resumes at another.
 	HandOverSlow HandOver = "slow_engine"
 	// HandOverRenewed means that the item is restarted with newer weights for the later job into which it will be carried over.
 	HandOverRenewed HandOver = "renewed"
@@ -29,17 +29,17 @@
 type Observer interface {
 	// AttemptEnded reports the end of a run of an item at an engine.
 	AttemptEnded(verdict string, took time.Duration)
-	// HandedOver reports an item that changes its run, or a run that changes its job.
+	// HandedOver reports that an item is assigned another run, or a run another job.
 	HandedOver(reason HandOver)
 	// Listed reports a listed result.
 	Listed(state batch.State)
-	// JobEnded reports the end of a job, with the time since this process started to run it.
+	// JobEnded reports the end of a job, and the time since this process started to run the job.
 	JobEnded(after time.Duration)
-	// Restored reports an item or run that continues a text of an ended job or an earlier process, with the text's number of events.
+	// Restored reports that an item or run continues a text of an ended job or an earlier process, and the text's number of events.
 	Restored(events int)
 	// Checkpointed reports a write of unfinished texts to this process's disk.
 	Checkpointed(texts int, err error)
-	// Committed reports a write of results.
+	// Committed reports a write of results to the store.
 	Committed(took time.Duration)
 }
 
--- a/internal/batchrun/place.go
+++ b/internal/batchrun/place.go
@@ -17,7 +17,7 @@
 const (
 	// scheduleInterval is the longest delay between two scheduling passes while items wait.
 	scheduleInterval = 100 * time.Millisecond
-	// schedulePauseFactor is the minimum delay after a scheduling pass, as a multiple of the pass's duration. It coalesces wake-ups.
+	// schedulePauseFactor is the minimum delay after a scheduling pass, as a multiple of the pass's duration. The delay coalesces wake-ups.
 	schedulePauseFactor = 4
 	// idleInterval is the longest delay between two scheduling passes while no items wait.
 	idleInterval = time.Second
@@ -33,7 +33,7 @@
 	maxMoveBackoff = 2
 	// minMoveSpeedup is how many times slower than another engine an item's engine must be before the item is moved.
 	minMoveSpeedup = 1.15
-	// minMoveGain is the minimum expected time saved by a move. It covers the cost of the move and estimation errors.
+	// minMoveGain is the minimum expected time saved by a move. It covers the cost of a move and estimation errors.
 	minMoveGain = 300 * time.Millisecond
 )
 
--- a/internal/batchrun/quarantine.go
+++ b/internal/batchrun/quarantine.go
@@ -8,7 +8,7 @@
 	"github.com/covelink/covelink/internal/quarantine"
 )
 
-// heldPollInterval is the longest delay between two checks of a held item, which may be cleared meanwhile.
+// heldPollInterval is the longest delay between two checks of whether a held item is still under quarantine.
 const heldPollInterval = time.Second
 
 // trial is the state of a held item's request for a trial run.
@@ -16,7 +16,7 @@
 
 const (
 	trialNone trial = iota
-	// trialRequested means that the reply is pending.
+	// trialRequested means that the guard has not replied yet.
 	trialRequested
 	// trialGranted means that the item may run once.
 	trialGranted
@@ -40,7 +40,7 @@
 }
 
 // heldByQuarantine reports whether an item must not run now because engines have failed while running it, and requests a trial run when one is due.
-// Without it, one item could crash engine after engine. The mutex must be held.
+// Without this check, one item could crash engine after engine. The mutex must be held.
 func (r *Runner) heldByQuarantine(it *item, status quarantine.Status, now time.Time) bool {
 	if status.State != quarantine.Held || it.trial == trialGranted {
 		return false
--- a/internal/batchrun/queue.go
+++ b/internal/batchrun/queue.go
@@ -19,7 +19,7 @@
 type urgency struct {
 	// rank is the priority of the job's tenant and route.
 	rank routing.Rank
-	// renewed is true for items restarted for a later job, which only the few engines with that job's weights can take.
+	// renewed is true for items restarted for a later job. Only the few engines with that job's weights can take them.
 	renewed bool
 	// spare is true for items of groups that the trainer is not expected to wait for.
 	spare bool
@@ -27,8 +27,8 @@
 	latestStart time.Time
 }
 
-// before reports whether an item is placed before another. Least slack goes first: long items precede short ones, also across jobs. Slack shrinks
-// over time, so no item starves.
+// before reports whether an item is placed before another: by rank, then renewed items, then items of groups that are not spare, then the least slack.
+// Long items thus precede short ones, also across jobs. Slack shrinks over time, so that no item starves.
 func (u urgency) before(other urgency) bool {
 	if order := u.rank.Compare(other.rank); order != 0 {
 		return order < 0
--- a/internal/batchrun/service.go
+++ b/internal/batchrun/service.go
@@ -45,7 +45,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.leads() {
-		// The process that leads now finds the job in the store.
+		// The process that leads now loads the job from the store.
 		return nil
 	}
 	r.add(stored)
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// resubmitted answers a submission whose ID is that of a stored job.
+// resubmitted returns the reply to a submission whose ID is already that of a stored job.
 func (r *Runner) resubmitted(submitted batch.Job, owner string) error {
 	if owner == submitted.Tenant {
 		return nil
@@ -135,7 +135,7 @@
 	}
 }
 
-// readFrom returns the results from a position on that fit one read. The runner's mutex must be held.
+// readFrom returns the results from a position on, up to the size limit of one read. The runner's mutex must be held.
 func (j *job) readFrom(position int) batch.ResultPage {
 	page := batch.ResultPage{Total: j.total, Next: position}
 	limit := maxReadBytes
--- a/internal/batchrun/subset.go
+++ b/internal/batchrun/subset.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// minSubsetSize is the minimum number of engines considered for the items of one model, in addition to one per open item. Services of up to twice
-	// that sum are considered whole.
+	// minSubsetSize is the minimum number of engines considered for the items of one model, in addition to one per open item. A service with
+	// up to twice that sum of engines is not reduced to a subset.
 	minSubsetSize = 256
 	// widenInterval is the minimum delay between two scans of all engines of a service for items that no engine in the subset can take.
 	widenInterval = 500 * time.Millisecond
 )
 
-// engineSubsets holds a subset of each large service's engines per pool, which bounds the cost of a scheduling pass. Engines with the newest weights
+// engineSubsets holds a subset of each large service's engines per pool, to bound the cost of a scheduling pass. Engines with the newest weights
 // come first; among equal weights a hash keeps the selection stable while the engine list changes. The runner's mutex guards it.
 type engineSubsets struct {
 	view   *fleet.View
@@ -43,7 +43,7 @@
 	s.engines = append(s.engines, engine)
 }
 
-// subsetFor returns the engines considered for a pool out of all permitted ones. complete is true if that is all of them. The mutex must be held.
+// subsetFor returns the engines considered for a pool out of all permitted ones. complete is true if none was left out. The mutex must be held.
 func (r *Runner) subsetFor(view *fleet.View, key poolKey, permitted []*fleet.Engine) (chosen []*fleet.Engine, complete bool) {
 	size := minSubsetSize + r.openItemsOf(key.model)
 	if len(permitted) <= 2*size {
