--- a/internal/dispatch/accounting.go
+++ b/internal/dispatch/accounting.go
@@ -13,61 +13,62 @@
 	"github.com/covelink/covelink/internal/engine"
 )
 
-// How long an engine that refused gets no new requests.
 const (
+	// drainingHold and busyHold bound how long an engine that refused a request gets no new ones.
 	drainingHold = 2 * time.Second
 	busyHold     = 100 * time.Millisecond
 )
 
-// started registers an attempt, so that it ends when its engine is found to have restarted.
-func (m *Manager) started(held *Grant, cancel context.CancelCauseFunc) {
+// trackAttempt registers the cancel function of an attempt, which is called if the engine restarts.
+func (m *Manager) trackAttempt(grant *Grant, cancel context.CancelCauseFunc) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.running[held] = cancel
+	m.running[grant] = cancel
 }
 
-// giveBack returns a slot that was not used.
-func (m *Manager) giveBack(held *Grant) {
+// releaseUnused returns the slot of a grant that was not used.
+func (m *Manager) releaseUnused(grant *Grant) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.core.GiveBack(held)
-	m.kick()
+	m.core.GiveBack(grant)
+	m.wakeLoop()
 }
 
-// finished accounts for an attempt and gives its slot back. own tells that the engine is not to blame for the end.
-func (m *Manager) finished(held *Grant, result *engine.StreamResult, own bool) {
-	m.metrics.attempted(result.Outcome)
+// finishAttempt records the result of an attempt and releases its slot. endedLocally is set if this node or the caller
+// ended the attempt, in which case the engine's breaker does not count a failure.
+func (m *Manager) finishAttempt(grant *Grant, result *engine.StreamResult, endedLocally bool) {
+	m.metrics.recordAttempt(result.Outcome)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	delete(m.running, held)
-	if m.core.Finished(m.params.Now(), held, result, own, m.params.Rand()) {
-		_ = level.Debug(m.logger).Log("msg", "attempt failed", "engine", held.engine.Name, "outcome", result.Outcome)
+	delete(m.running, grant)
+	if m.core.Finished(m.params.Now(), grant, result, endedLocally, m.params.Rand()) {
+		_ = level.Debug(m.logger).Log("msg", "attempt failed", "engine", grant.engine.Name, "outcome", result.Outcome)
 	}
-	m.kick()
+	m.wakeLoop()
 }
 
-// judge decides what follows an attempt.
-func (m *Manager) judge(run *Run, ended *Refusal, result *engine.StreamResult) Step {
+// nextStep returns what follows an attempt. aborted is not nil if the task itself ended the attempt.
+func (m *Manager) nextStep(run *Run, aborted *Refusal, result *engine.StreamResult) Step {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return run.Judge(m.core, ended, result, m.params.Rand())
+	return run.Judge(m.core, aborted, result, m.params.Rand())
 }
 
-// observeVersion takes over the version of verified tokens.
-func (m *Manager) observeVersion(held *Grant, version int64) {
+// observeVersion records the weight version of verified tokens as the version of the grant's engine.
+func (m *Manager) observeVersion(grant *Grant, version int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.core.ObserveVersion(held, version)
+	m.core.ObserveVersion(grant, version)
 }
 
-// cancelAttempt tells the engine of an attempt that was given up, in the background: the result does not wait for it.
-// A stream that the engine ended itself needs no cancel.
-func (m *Manager) cancelAttempt(held *Grant, request *enginev1.CompletionRequest, result *engine.StreamResult) {
+// cancelAttempt sends a cancel to the engine of an aborted attempt, in the background so that the result is not delayed.
+// A stream that the engine itself ended needs no cancel.
+func (m *Manager) cancelAttempt(grant *Grant, request *enginev1.CompletionRequest, result *engine.StreamResult) {
 	if result.Outcome != v1.OutcomeUnknown || errors.Is(result.Err, engine.ErrTruncated) {
 		return
 	}
 	cancelled := enginev1.CancelRequest{RequestID: request.RequestID, Attempt: request.Attempt}
-	url := held.engine.URL
+	url := grant.engine.URL
 	m.background.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 		defer cancel()
@@ -75,7 +76,7 @@
 	})
 }
 
-// poolSpec returns the spec of a pool, which was in the view a moment ago.
+// poolSpec returns the spec of a pool, or a zero spec if the pool has been removed from the view.
 func (m *Manager) poolSpec(pool string) v1.PoolSpec {
 	if known, ok := m.params.Source.Current().Pools[pool]; ok {
 		return known.Spec
--- a/internal/dispatch/bench_test.go
+++ b/internal/dispatch/bench_test.go
@@ -15,7 +15,7 @@
 	"github.com/covelink/covelink/internal/settings"
 )
 
-// instantClient completes every attempt at once.
+// instantClient is an EngineClient that completes every attempt immediately.
 type instantClient struct{}
 
 func (instantClient) Stream(
@@ -26,7 +26,7 @@
 
 func (instantClient) Cancel(context.Context, string, enginev1.CancelRequest) error { return nil }
 
-// BenchmarkDispatch measures what the Manager adds to an attempt.
+// BenchmarkDispatch measures the overhead of the Manager per attempt.
 func BenchmarkDispatch(b *testing.B) {
 	for _, engines := range []int{10, 61, 610} {
 		b.Run(fmt.Sprintf("engines=%d", engines), func(b *testing.B) {
--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -12,9 +12,9 @@
 	"github.com/covelink/covelink/internal/scheduler"
 )
 
-// Core holds the decisions of a node's dispatch: which waiting task starts where, what an attempt tells of its engine,
-// and which callers may retry. It is pure: no clock, no I/O, no goroutine; the present time, views and random numbers are
-// arguments. The Manager drives it in real time and the simulator in virtual time. It is not safe for concurrent use.
+// Core is the state machine of a node's dispatch: it places waiting tasks, updates engine state from attempt results and
+// keeps the retry budgets. It has no clock, I/O or goroutines: time, views and random numbers are arguments, so that the
+// Manager drives it in real time and the simulator in virtual time. It is not safe for concurrent use.
 type Core struct {
 	zone     string
 	snapshot *scheduler.Snapshot
@@ -23,16 +23,16 @@
 	waiting  map[uint64]waitingTask
 	budgets  map[string]*scheduler.RetryBudget
 	inFlight map[Class]int
-	// service holds what was measured of answers by pool and class.
+	// service holds the observed service times by pool and class.
 	service map[serviceKey]*scheduler.ServiceTime
 	nextID  uint64
 }
 
-// Placer chooses the engine of a request; the product's is *scheduler.Placer, whose contract this is.
+// Placer chooses the engine of a request. The production implementation is *scheduler.Placer.
 type Placer interface {
-	// Place decides and counts the request as in flight on the engine it is placed on.
+	// Place decides and, if it places the request, counts it as in flight on the chosen engine.
 	Place(now time.Time, snapshot *scheduler.Snapshot, request *scheduler.Request) scheduler.Decision
-	// Evaluate decides as Place does and counts nothing.
+	// Evaluate makes the same decision as Place without changing any state.
 	Evaluate(now time.Time, snapshot *scheduler.Snapshot, request *scheduler.Request) scheduler.Decision
 }
 
@@ -41,43 +41,45 @@
 	class Class
 }
 
-// waitingTask is a task that waits for a placement.
+// waitingTask is a queued task.
 type waitingTask struct {
 	request scheduler.Request
 	class   Class
 	since   time.Time
 }
 
-// Grant is a slot on an engine.
+// Grant is a slot on an engine for one attempt of a task.
 type Grant struct {
 	engine cluster.Engine
 	state  *scheduler.EngineState
 	class  Class
-	// waited is the time from the arrival in the queue to the placement, and placed the time of that.
+	// waited is the time from the first arrival in the queue to the placement.
 	waited time.Duration
+	// placed is the time of the placement.
 	placed time.Time
-	since  time.Time
-	// resumed is the number of tokens that the attempt did not have to produce.
+	// since is the time of the first arrival in the queue.
+	since time.Time
+	// resumed is the number of tokens that the attempt resumes from.
 	resumed int
 }
 
-// Engine returns the view's entry of the engine at the time of the placement.
+// Engine returns the engine's entry in the view at the time of the placement.
 func (g *Grant) Engine() cluster.Engine { return g.engine }
 
-// Refusal is the end of a task that does not complete, with the reason that the metrics count it by.
+// Refusal is the error of a task that does not complete. Reason is the value of the metrics label.
 type Refusal struct {
 	Reason string
 	Err    *v1.Error
 }
 
-// Placement is the decision on a waiting task: a Grant or a Refusal.
+// Placement is the decision on a queued task; exactly one of Grant and Refusal is set.
 type Placement struct {
 	ID      uint64
 	Grant   *Grant
 	Refusal *Refusal
 }
 
-// NewCore returns the Core of a node in a zone.
+// NewCore returns a Core for a node in the given zone.
 func NewCore(view *cluster.View, zone string, limits scheduler.QueueLimits) *Core {
 	return &Core{
 		zone:     zone,
@@ -91,10 +93,10 @@
 	}
 }
 
-// UsePlacer replaces the product's placer, so that an experiment can compare.
+// UsePlacer replaces the production placer, for experiments that compare placement policies.
 func (c *Core) UsePlacer(placer Placer) { c.placer = placer }
 
-// Enqueue admits a task to the queue and returns its number there, or refuses it.
+// Enqueue admits a task to the queue and returns its id, or refuses it.
 func (c *Core) Enqueue(now time.Time, item scheduler.Item, request scheduler.Request, class Class) (uint64, *Refusal) {
 	c.nextID++
 	item.ID = c.nextID
@@ -103,19 +105,19 @@
 		item.Since = now
 	}
 	if rejection := c.queue.Push(now, item); rejection != nil {
-		return 0, rejected(rejection)
+		return 0, queueRefusal(rejection)
 	}
 	c.waiting[item.ID] = waitingTask{request: request, class: class, since: item.Since}
 	return item.ID, nil
 }
 
-// Remove takes a task out of the queue and reports whether it was there.
+// Remove removes a task from the queue and reports whether it was queued.
 func (c *Core) Remove(id uint64) bool {
 	delete(c.waiting, id)
 	return c.queue.Remove(id)
 }
 
-// Waiting returns the numbers of the tasks that wait, in the order of their arrival.
+// Waiting returns the ids of the queued tasks in the order of their arrival.
 func (c *Core) Waiting() []uint64 {
 	ids := make([]uint64, 0, len(c.waiting))
 	for id := range c.waiting {
@@ -125,7 +127,7 @@
 	return ids
 }
 
-// Refresh takes over a view and reports whether it is a new one.
+// Refresh applies a view and reports whether it differs from the one in force.
 func (c *Core) Refresh(view *cluster.View) bool {
 	if view == c.snapshot.View {
 		return false
@@ -134,68 +136,68 @@
 	return true
 }
 
-// View returns the view in force.
+// View returns the view that placements are based on.
 func (c *Core) View() *cluster.View { return c.snapshot.View }
 
-// Replaced reports whether the view shows that the grant's engine has restarted since.
-func (c *Core) Replaced(held *Grant) bool {
-	index := c.snapshot.Find(held.engine.Name)
+// Replaced reports whether, according to the view, the grant's engine has restarted since the placement.
+func (c *Core) Replaced(grant *Grant) bool {
+	index := c.snapshot.Find(grant.engine.Name)
 	if index < 0 {
 		return false
 	}
 	after := &c.snapshot.View.Engines[index]
-	return after.Incarnation != "" && after.Incarnation != held.engine.Incarnation
+	return after.Incarnation != "" && after.Incarnation != grant.engine.Incarnation
 }
 
-// Place decides on every waiting task and tells of each that is granted or refused.
-func (c *Core) Place(now time.Time, decided func(Placement)) {
-	c.queue.Shed(func(item *scheduler.Item) bool { return c.tryShed(now, item, decided) })
-	c.queue.Scan(now, func(item *scheduler.Item) scheduler.Verdict { return c.tryPlace(now, item, decided) })
+// Place tries to place every queued task and calls onDecision for each one that is granted or refused.
+func (c *Core) Place(now time.Time, onDecision func(Placement)) {
+	c.queue.Shed(func(item *scheduler.Item) bool { return c.tryShed(now, item, onDecision) })
+	c.queue.Scan(now, func(item *scheduler.Item) scheduler.Verdict { return c.tryPlace(now, item, onDecision) })
 }
 
-// tryShed refuses a task that can no longer end by its deadline, or that has waited too long while every engine is full.
-func (c *Core) tryShed(now time.Time, item *scheduler.Item, decided func(Placement)) bool {
-	if !item.Late(now) && !(item.Overdue(now) && c.full(now, item.ID)) {
+// tryShed refuses a task that cannot finish by its deadline, or that is overdue while every engine is full.
+func (c *Core) tryShed(now time.Time, item *scheduler.Item, onDecision func(Placement)) bool {
+	if !item.Late(now) && !(item.Overdue(now) && c.waitsForSlot(now, item.ID)) {
 		return false
 	}
 	delete(c.waiting, item.ID)
-	decided(Placement{ID: item.ID, Refusal: late(c.Wait(now, *item))})
+	onDecision(Placement{ID: item.ID, Refusal: deadlineRefusal(c.Wait(now, *item))})
 	return true
 }
 
-// full reports whether a task waits for nothing but a slot.
-func (c *Core) full(now time.Time, id uint64) bool {
+// waitsForSlot reports whether the lack of a free slot is the only reason why a task is not placed.
+func (c *Core) waitsForSlot(now time.Time, id uint64) bool {
 	request := c.waiting[id].request
 	decision := c.placer.Evaluate(now, c.snapshot, &request)
 	return decision.Kind == scheduler.Wait && decision.Reason == scheduler.FilterFull
 }
 
-func (c *Core) tryPlace(now time.Time, item *scheduler.Item, decided func(Placement)) scheduler.Verdict {
+func (c *Core) tryPlace(now time.Time, item *scheduler.Item, onDecision func(Placement)) scheduler.Verdict {
 	waiting := c.waiting[item.ID]
 	if item.Late(now) {
 		delete(c.waiting, item.ID)
-		decided(Placement{ID: item.ID, Refusal: late(c.Wait(now, *item))})
+		onDecision(Placement{ID: item.ID, Refusal: deadlineRefusal(c.Wait(now, *item))})
 		return scheduler.Drop
 	}
 	decision := c.placer.Place(now, c.snapshot, &waiting.request)
 	switch decision.Kind {
 	case scheduler.Placed:
 		delete(c.waiting, item.ID)
-		decided(Placement{ID: item.ID, Grant: c.grant(now, waiting, decision.Engine)})
+		onDecision(Placement{ID: item.ID, Grant: c.grant(now, waiting, decision.Engine)})
 		return scheduler.Take
 	case scheduler.Refuse:
 		delete(c.waiting, item.ID)
-		decided(Placement{ID: item.ID, Refusal: unplaceable(decision)})
+		onDecision(Placement{ID: item.ID, Refusal: placementRefusal(decision)})
 		return scheduler.Drop
 	}
-	if wholePoolFull(decision) {
+	if blocksPool(decision) {
 		return scheduler.Stop
 	}
 	return scheduler.Skip
 }
 
-// wholePoolFull reports that what keeps this task waiting keeps every other task of its class and pool waiting too.
-func wholePoolFull(decision scheduler.Decision) bool {
+// blocksPool reports whether a waiting task is blocked by a condition that applies to every task of its class and pool.
+func blocksPool(decision scheduler.Decision) bool {
 	removed := &decision.Explanation.Removed
 	return removed[scheduler.FilterAvoided] == 0 && removed[scheduler.FilterVersion] == 0
 }
@@ -212,7 +214,7 @@
 	}
 }
 
-// serviceTime returns what was measured of the answers of a pool and class.
+// serviceTime returns the service time estimator of a pool and class.
 func (c *Core) serviceTime(pool string, class Class) *scheduler.ServiceTime {
 	key := serviceKey{pool: pool, class: class}
 	measured, ok := c.service[key]
@@ -223,99 +225,99 @@
 	return measured
 }
 
-// Explain tells where a request would be placed now, and which filter removes how many engines.
+// Explain returns where a request would be placed now, and how many engines each filter removes.
 func (c *Core) Explain(now time.Time, request scheduler.Request) scheduler.Decision {
 	return c.placer.Evaluate(now, c.snapshot, &request)
 }
 
-// Wait estimates how long a new request of the class and pool would wait.
+// Wait estimates the queueing time of a new request of the item's class and pool.
 func (c *Core) Wait(now time.Time, item scheduler.Item) time.Duration {
 	return c.queue.Wait(now, item.Interactive, item.Pool)
 }
 
-// GiveBack returns a slot that was not used.
-func (c *Core) GiveBack(held *Grant) {
-	held.state.Breaker.Abandon()
-	c.release(held)
+// GiveBack releases the slot of a grant without an attempt.
+func (c *Core) GiveBack(grant *Grant) {
+	grant.state.Breaker.Abandon()
+	c.release(grant)
 }
 
-func (c *Core) release(held *Grant) {
-	held.state.Release(held.class == ClassInteractive)
-	c.inFlight[held.class]--
+func (c *Core) release(grant *Grant) {
+	grant.state.Release(grant.class == ClassInteractive)
+	c.inFlight[grant.class]--
 }
 
-// Finished accounts for an attempt and gives its slot back. own tells that the engine is not to blame for the end; random
-// is uniform in [0, 1). It reports whether the engine is to blame.
-func (c *Core) Finished(now time.Time, held *Grant, result *engine.StreamResult, own bool, random float64) bool {
-	c.observeLoad(now, held, result.Load)
-	blamed := false
+// Finished records the result of an attempt, releases its slot and reports whether the engine's breaker counted a
+// failure. endedLocally is set if this node or the caller ended the attempt; random is uniform in [0, 1).
+func (c *Core) Finished(now time.Time, grant *Grant, result *engine.StreamResult, endedLocally bool, random float64) bool {
+	c.observeLoad(now, grant, result.Load)
+	engineFailed := false
 	switch {
 	case result.Outcome == v1.OutcomeCompleted:
-		held.state.Breaker.Succeed()
-		c.observeAnswer(held, result.Load)
-		c.serviceTime(held.engine.Pool, held.class).Observe(now.Sub(held.placed), len(result.Tokens)-held.resumed)
+		grant.state.Breaker.Succeed()
+		c.observeCompletion(grant, result.Load)
+		c.serviceTime(grant.engine.Pool, grant.class).Observe(now.Sub(grant.placed), len(result.Tokens)-grant.resumed)
 	case result.Refusal != nil:
-		held.state.Breaker.Succeed()
-		c.observeRefusal(now, held, result.Refusal.Reason, random)
-	case own:
-		held.state.Breaker.Abandon()
+		grant.state.Breaker.Succeed()
+		c.observeRefusal(now, grant, result.Refusal.Reason, random)
+	case endedLocally:
+		grant.state.Breaker.Abandon()
 	default:
-		blamed = true
-		held.state.Breaker.Fail(now, random)
+		engineFailed = true
+		grant.state.Breaker.Fail(now, random)
 	}
-	c.release(held)
-	return blamed
+	c.release(grant)
+	return engineFailed
 }
 
-// observeRefusal keeps new requests off an engine that refused one.
-func (c *Core) observeRefusal(now time.Time, held *Grant, reason enginev1.RefusalReason, random float64) {
-	if held.state.Incarnation != held.engine.Incarnation {
+// observeRefusal holds off new requests from an engine that refused one, for as long as the reason asks for.
+func (c *Core) observeRefusal(now time.Time, grant *Grant, reason enginev1.RefusalReason, random float64) {
+	if grant.state.Incarnation != grant.engine.Incarnation {
 		return
 	}
 	switch reason {
 	case enginev1.RefusedIncarnation, enginev1.RefusedZone:
-		held.state.Unusable = true
+		grant.state.Unusable = true
 	case enginev1.RefusedDraining:
-		held.state.DrainingUntil = now.Add(drainingHold)
+		grant.state.DrainingUntil = now.Add(drainingHold)
 	case enginev1.RefusedFull:
-		interactive := held.class == ClassInteractive
-		held.state.Window(interactive).Refuse(now, held.state.InFlightOf(interactive)-1, random)
+		interactive := grant.class == ClassInteractive
+		grant.state.Window(interactive).Refuse(now, grant.state.InFlightOf(interactive)-1, random)
 	default:
-		held.state.HoldUntil = now.Add(busyHold)
+		grant.state.HoldUntil = now.Add(busyHold)
 	}
 }
 
-// observeAnswer lets the node's share of the engine grow when an answer left room there.
-func (c *Core) observeAnswer(held *Grant, load *enginev1.Load) {
-	pool := c.snapshot.View.Pools[held.engine.Pool]
-	if load == nil || pool == nil || held.state.Incarnation != held.engine.Incarnation {
+// observeCompletion grows the node's window on the engine if the reported load is below the slot limit.
+func (c *Core) observeCompletion(grant *Grant, load *enginev1.Load) {
+	pool := c.snapshot.View.Pools[grant.engine.Pool]
+	if load == nil || pool == nil || grant.state.Incarnation != grant.engine.Incarnation {
 		return
 	}
-	interactive := held.class == ClassInteractive
+	interactive := grant.class == ClassInteractive
 	limit := scheduler.SlotLimit(pool.Spec.MaxConcurrent, pool.Spec.InteractiveReserve, interactive)
-	held.state.Window(interactive).Answer(load.Running+load.Waiting, limit)
+	grant.state.Window(interactive).Answer(load.Running+load.Waiting, limit)
 }
 
-// observeLoad takes over a report that came with a reply of the grant's incarnation.
-func (c *Core) observeLoad(now time.Time, held *Grant, load *enginev1.Load) {
-	if load == nil || load.Incarnation != held.engine.Incarnation {
+// observeLoad records a load report, unless it comes from another incarnation than the grant's.
+func (c *Core) observeLoad(now time.Time, grant *Grant, load *enginev1.Load) {
+	if load == nil || load.Incarnation != grant.engine.Incarnation {
 		return
 	}
-	held.state.ObserveVersion(load.Incarnation, load.ActiveVersion)
-	held.state.ObserveLoad(now, load.Running+load.Waiting)
+	grant.state.ObserveVersion(load.Incarnation, load.ActiveVersion)
+	grant.state.ObserveLoad(now, load.Running+load.Waiting)
 }
 
-// ObserveVersion takes over the version of verified tokens. They also prove that the engine works.
-func (c *Core) ObserveVersion(held *Grant, version int64) {
-	held.state.ObserveVersion(held.engine.Incarnation, version)
-	held.state.Breaker.Succeed()
+// ObserveVersion records the weight version of verified tokens. The breaker counts them as a success of the engine.
+func (c *Core) ObserveVersion(grant *Grant, version int64) {
+	grant.state.ObserveVersion(grant.engine.Incarnation, version)
+	grant.state.Breaker.Succeed()
 }
 
-// succeeded earns the caller a share of a retry.
-func (c *Core) succeeded(caller string) { c.budget(caller).Succeed() }
+// creditRetry adds the share of a completed task to the caller's retry budget.
+func (c *Core) creditRetry(caller string) { c.budget(caller).Succeed() }
 
-// mayRetry takes a retry from the caller's budget.
-func (c *Core) mayRetry(caller string) bool { return c.budget(caller).Withdraw() }
+// withdrawRetry takes one retry from the caller's budget and reports whether the budget allowed it.
+func (c *Core) withdrawRetry(caller string) bool { return c.budget(caller).Withdraw() }
 
 func (c *Core) budget(caller string) *scheduler.RetryBudget {
 	budget, ok := c.budgets[caller]
@@ -330,25 +332,25 @@
 	return budget
 }
 
-// Permitted checks a grant against a view, which may be newer than the one it was decided on, and returns the pool's
-// permitted zones.
-func Permitted(now time.Time, view *cluster.View, pool string, held *Grant) ([]string, bool) {
+// Permitted reports whether a view, which may be newer than the one used for the placement, still allows the grant. If so,
+// it also returns the pool's permitted zones.
+func Permitted(now time.Time, view *cluster.View, pool string, grant *Grant) ([]string, bool) {
 	known, ok := view.Pools[pool]
-	if !ok || !view.ServingAt(now) || !slices.Contains(known.Spec.PermittedZones, held.engine.Zone) {
+	if !ok || !view.ServingAt(now) || !slices.Contains(known.Spec.PermittedZones, grant.engine.Zone) {
 		return nil, false
 	}
-	if zone, found := view.Zones[held.engine.Zone]; found && zone.Spec.Cordoned {
+	if zone, found := view.Zones[grant.engine.Zone]; found && zone.Spec.Cordoned {
 		return nil, false
 	}
-	if slices.Contains(known.Spec.DrainingEngines, held.engine.Name) {
+	if slices.Contains(known.Spec.DrainingEngines, grant.engine.Name) {
 		return nil, false
 	}
-	at := slices.IndexFunc(view.Engines, func(other cluster.Engine) bool { return other.Name == held.engine.Name })
-	if at < 0 {
+	index := slices.IndexFunc(view.Engines, func(other cluster.Engine) bool { return other.Name == grant.engine.Name })
+	if index < 0 {
 		return nil, false
 	}
-	entry := &view.Engines[at]
-	same := entry.Incarnation == held.engine.Incarnation && entry.Zone == held.engine.Zone && entry.URL == held.engine.URL
+	entry := &view.Engines[index]
+	same := entry.Incarnation == grant.engine.Incarnation && entry.Zone == grant.engine.Zone && entry.URL == grant.engine.URL
 	return known.Spec.PermittedZones, same && entry.Pool == pool && !entry.Leaving
 }
 
@@ -356,23 +358,23 @@
 	return &Refusal{Reason: reason, Err: v1.NotRun(code, retryAfter, "%s", message)}
 }
 
-func rejected(rejection *scheduler.Rejection) *Refusal {
+func queueRefusal(rejection *scheduler.Rejection) *Refusal {
 	switch rejection.Reason {
 	case scheduler.RejectedDeadline:
-		return refuse(string(rejection.Reason), v1.CodeOverloaded, rejection.RetryAfter, "the deadline cannot be met")
+		return refuse(string(rejection.Reason), v1.CodeOverloaded, rejection.RetryAfter, "the request cannot meet its deadline")
 	case scheduler.RejectedWait:
-		return refuse(string(rejection.Reason), v1.CodeOverloaded, rejection.RetryAfter, "the request would wait too long")
+		return refuse(string(rejection.Reason), v1.CodeOverloaded, rejection.RetryAfter, "the expected wait exceeds the limit")
 	}
 	return refuse(string(rejection.Reason), v1.CodeOverloaded, rejection.RetryAfter, "the queue is full")
 }
 
-// late refuses a task that can no longer end by its deadline. wait is what a new one would wait.
-func late(wait time.Duration) *Refusal {
+// deadlineRefusal refuses a task that cannot finish by its deadline. wait is the estimated queueing time of a new one.
+func deadlineRefusal(wait time.Duration) *Refusal {
 	return refuse(string(scheduler.RejectedDeadline), v1.CodeOverloaded, max(unavailableRetryAfter, wait),
-		"the deadline cannot be met")
+		"the request cannot meet its deadline")
 }
 
-func unplaceable(decision scheduler.Decision) *Refusal {
+func placementRefusal(decision scheduler.Decision) *Refusal {
 	return refuse(reasonNoEngine, v1.CodeUnavailable, decision.RetryAfter,
-		"no engine of the pool can take the request: "+decision.Reason.String())
+		"no engine in the pool can run the request: "+decision.Reason.String())
 }
--- a/internal/dispatch/execution.go
+++ b/internal/dispatch/execution.go
@@ -10,7 +10,7 @@
 	"github.com/covelink/covelink/internal/engine"
 )
 
-// execution carries one task through its attempts in real time; its Run decides.
+// execution runs the attempts of one task in real time, following the decisions of its Run.
 type execution struct {
 	manager  *Manager
 	run      *Run
@@ -23,59 +23,59 @@
 
 func (e *execution) complete(ctx context.Context) Result {
 	for {
-		held, refused := e.manager.acquire(ctx, e.run)
+		grant, refused := e.manager.acquire(ctx, e.run)
 		if refused != nil {
 			return e.final(e.run.GiveUp(refused))
 		}
 		e.run.Granted()
-		next := e.attempt(ctx, held)
+		next := e.attempt(ctx, grant)
 		if next.Result != nil {
 			return e.final(next)
 		}
 		if !sleep(ctx, next.Delay) {
-			return e.final(e.run.GiveUp(e.manager.ended(ctx, e.run.Item())))
+			return e.final(e.run.GiveUp(e.manager.contextRefusal(ctx, e.run.Item())))
 		}
 	}
 }
 
-// final counts the reason of a task that does not complete.
+// final returns the result of a final step and counts the reason if the task did not complete.
 func (e *execution) final(step Step) Result {
 	if step.Result.Outcome != v1.OutcomeCompleted {
-		e.manager.metrics.refused(step.Reason)
+		e.manager.metrics.recordRefusal(step.Reason)
 	}
 	return *step.Result
 }
 
-// attempt uses a granted slot once.
-func (e *execution) attempt(ctx context.Context, held *Grant) Step {
-	zones, ok := e.manager.permitted(&e.run.Task, held)
+// attempt makes one attempt on the grant's engine and releases the slot.
+func (e *execution) attempt(ctx context.Context, grant *Grant) Step {
+	zones, ok := e.manager.permitted(&e.run.Task, grant)
 	if !ok {
-		// The view has moved on since the placement; the next one follows the new view.
-		e.manager.giveBack(held)
+		// The view has changed since the placement and no longer permits it; place the task again.
+		e.manager.releaseUnused(grant)
 		return Step{}
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	e.manager.started(held, cancel)
-	request := e.run.Request(held, e.manager.poolSpec(e.run.Task.Pool), zones)
-	target := engine.Target{Name: held.engine.Name, URL: held.engine.URL, ResumeSegments: e.run.ResumeSegments()}
+	e.manager.trackAttempt(grant, cancel)
+	request := e.run.Request(grant, e.manager.poolSpec(e.run.Task.Pool), zones)
+	target := engine.Target{Name: grant.engine.Name, URL: grant.engine.URL, ResumeSegments: e.run.ResumeSegments()}
 	result := e.manager.params.Engines.Stream(ctx, target, request, func(chunk engine.Chunk) error {
-		return e.chunk(held, chunk)
+		return e.chunk(grant, chunk)
 	})
-	e.run.Take(held, &result)
-	own := ctx.Err() != nil && !errors.Is(context.Cause(ctx), errReplaced)
-	e.manager.finished(held, &result, own || errors.Is(result.Err, engine.ErrConsumer))
-	e.manager.cancelAttempt(held, &request, &result)
-	var ended *Refusal
-	if own {
-		ended = e.manager.ended(ctx, e.run.Item())
+	e.run.Take(grant, &result)
+	endedLocally := ctx.Err() != nil && !errors.Is(context.Cause(ctx), errEngineRestarted)
+	e.manager.finishAttempt(grant, &result, endedLocally || errors.Is(result.Err, engine.ErrConsumer))
+	e.manager.cancelAttempt(grant, &request, &result)
+	var aborted *Refusal
+	if endedLocally {
+		aborted = e.manager.contextRefusal(ctx, e.run.Item())
 	}
-	return e.manager.judge(e.run, ended, &result)
+	return e.manager.nextStep(e.run, aborted, &result)
 }
 
-// chunk passes verified tokens on. It runs on the goroutine of Dispatch.
-func (e *execution) chunk(held *Grant, chunk engine.Chunk) error {
-	e.manager.observeVersion(held, chunk.Version)
+// chunk forwards verified tokens to the consumer. It runs on the goroutine of Dispatch.
+func (e *execution) chunk(grant *Grant, chunk engine.Chunk) error {
+	e.manager.observeVersion(grant, chunk.Version)
 	if e.progress == nil {
 		return nil
 	}
@@ -83,13 +83,13 @@
 		Index:   chunk.Index,
 		Tokens:  chunk.Tokens,
 		Version: chunk.Version,
-		Engine:  held.engine.Name,
+		Engine:  grant.engine.Name,
 	})
 	e.run.Reported(chunk.Index + len(chunk.Tokens))
 	return err
 }
 
-// sleep waits for the delay and reports whether ctx is still alive.
+// sleep waits for the delay and reports whether it elapsed before ctx ended.
 func sleep(ctx context.Context, delay time.Duration) bool {
 	if delay <= 0 {
 		return ctx.Err() == nil
--- a/internal/dispatch/kit_test.go
+++ b/internal/dispatch/harness_test.go
@@ -25,14 +25,14 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// patience bounds every wait for a condition.
-const patience = 30 * time.Second
+// testTimeout bounds every wait for a condition, and the tasks.
+const testTimeout = 30 * time.Second
 
-// maxQueued bounds the waiting tasks of a class.
+// maxQueued is the queue limit of a class.
 const maxQueued = 500
 
-// answerOf is the answer that every test engine gives to a prompt.
-func answerOf(prompt string) []string {
+// expectedAnswer returns the answer of every test engine to a prompt.
+func expectedAnswer(prompt string) []string {
 	tokens := make([]string, 12)
 	for index := range tokens {
 		tokens[index] = fmt.Sprintf("%s/%d ", prompt, index)
@@ -40,7 +40,7 @@
 	return tokens
 }
 
-// testEngine is an engine with a script. It records the requests that it executed.
+// testEngine is an HTTP engine that records requests and answers them by its script.
 type testEngine struct {
 	name   string
 	zone   string
@@ -72,16 +72,17 @@
 	e.script = script
 }
 
-// requests returns what the engine received.
+// requests returns the completion requests received so far.
 func (e *testEngine) requests() []enginev1.CompletionRequest {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.received)
 }
 
-// send streams the tokens from the resumed ones up to the index to, without the final event.
+// send streams the tokens after the resumed ones, up to but not including index to, without the final event. It returns
+// the next sequence number.
 func (e *testEngine) send(w http.ResponseWriter, request enginev1.CompletionRequest, to int) uint64 {
-	tokens := answerOf(request.Prompt)
+	tokens := expectedAnswer(request.Prompt)
 	from := len(request.Resume)
 	for index := from; index < to; index++ {
 		e.event(w, request, enginev1.TokenEvent{
@@ -99,17 +100,15 @@
 }
 
 func (e *testEngine) final(w http.ResponseWriter, request enginev1.CompletionRequest, sequence uint64) {
-	tokens := answerOf(request.Prompt)
+	tokens := expectedAnswer(request.Prompt)
 	e.event(w, request, enginev1.TokenEvent{Sequence: sequence, Final: &enginev1.FinalEvent{
 		Tokens: len(tokens), Checksum: enginev1.Checksum(tokens), FinishReason: "stop",
 		Load: enginev1.Load{Incarnation: request.Incarnation, ActiveVersion: e.version},
 	}})
 }
 
-// The scripts.
-
-func wholeAnswer(e *testEngine, w http.ResponseWriter, _ *http.Request, request enginev1.CompletionRequest) {
-	e.final(w, request, e.send(w, request, len(answerOf(request.Prompt))))
+func completeAnswer(e *testEngine, w http.ResponseWriter, _ *http.Request, request enginev1.CompletionRequest) {
+	e.final(w, request, e.send(w, request, len(expectedAnswer(request.Prompt))))
 }
 
 func crashAfter(tokens int) func(*testEngine, http.ResponseWriter, *http.Request, enginev1.CompletionRequest) {
@@ -119,7 +118,7 @@
 	}
 }
 
-// hangAfter streams some tokens and then nothing until the caller goes away or the test lets it go on.
+// hangAfter streams some tokens and then blocks until the caller disconnects or resume is closed.
 func hangAfter(tokens int, resume <-chan struct{}) func(*testEngine, http.ResponseWriter, *http.Request, enginev1.CompletionRequest) {
 	return func(e *testEngine, w http.ResponseWriter, r *http.Request, request enginev1.CompletionRequest) {
 		e.send(w, request, tokens)
@@ -131,9 +130,9 @@
 		}
 		rest := request
 		sequence := uint64(max(tokens-len(request.Resume), 0))
-		for index := max(tokens, len(request.Resume)); index < len(answerOf(request.Prompt)); index++ {
+		for index := max(tokens, len(request.Resume)); index < len(expectedAnswer(request.Prompt)); index++ {
 			e.event(w, rest, enginev1.TokenEvent{
-				Sequence: sequence, Index: index, Tokens: answerOf(request.Prompt)[index : index+1], Version: e.version,
+				Sequence: sequence, Index: index, Tokens: expectedAnswer(request.Prompt)[index : index+1], Version: e.version,
 			})
 			sequence++
 		}
@@ -141,7 +140,7 @@
 	}
 }
 
-func refusing(reason enginev1.RefusalReason) func(*testEngine, http.ResponseWriter, *http.Request, enginev1.CompletionRequest) {
+func refuseWith(reason enginev1.RefusalReason) func(*testEngine, http.ResponseWriter, *http.Request, enginev1.CompletionRequest) {
 	return func(e *testEngine, w http.ResponseWriter, _ *http.Request, _ enginev1.CompletionRequest) {
 		e.mu.Lock()
 		e.refused++
@@ -151,8 +150,8 @@
 	}
 }
 
-// rig is a Manager that runs against test engines.
-type rig struct {
+// harness runs a Manager against test engines.
+type harness struct {
 	holder  *cluster.Holder
 	engines []*testEngine
 	client  *engine.Client
@@ -161,9 +160,9 @@
 	done    chan struct{}
 }
 
-// newRig starts one engine in each of the zones, all of pool "pool", and a Manager in zone a. Zones a and b are permitted.
-func newRig(zones ...string) *rig {
-	r := &rig{holder: cluster.NewHolder(), client: engine.New(engine.Config{}), done: make(chan struct{})}
+// newHarness starts one engine of pool "pool" per zone given, and a Manager in zone a. Zones a and b are permitted.
+func newHarness(zones ...string) *harness {
+	r := &harness{holder: cluster.NewHolder(), client: engine.New(engine.Config{}), done: make(chan struct{})}
 	view := &cluster.View{
 		Serving: true,
 		Zones:   map[string]*v1.Zone{},
@@ -172,12 +171,12 @@
 		},
 	}
 	for index, zone := range zones {
-		made := &testEngine{name: fmt.Sprintf("e%d", index), zone: zone, script: wholeAnswer, version: int64(index + 1)}
-		made.server = httptest.NewServer(made)
-		r.engines = append(r.engines, made)
+		eng := &testEngine{name: fmt.Sprintf("e%d", index), zone: zone, script: completeAnswer, version: int64(index + 1)}
+		eng.server = httptest.NewServer(eng)
+		r.engines = append(r.engines, eng)
 		view.Zones[zone] = &v1.Zone{Spec: v1.ZoneSpec{Region: "r"}}
 		view.Engines = append(view.Engines, cluster.Engine{
-			Name: made.name, URL: made.server.URL, Pool: "pool", Zone: zone, Incarnation: "1", ActiveVersion: made.version,
+			Name: eng.name, URL: eng.server.URL, Pool: "pool", Zone: zone, Incarnation: "1", ActiveVersion: eng.version,
 		})
 	}
 	r.holder.Update(func(*cluster.View) *cluster.View { return view })
@@ -185,7 +184,7 @@
 	limits.MaxQueued = maxQueued
 	r.manager = dispatch.New(dispatch.Params{
 		Source: r.holder, Self: cluster.Node{Name: "n", Zone: "a"}, Engines: r.client, Limits: limits,
-		// The least jitter keeps backoffs short; every run has the same.
+		// A small constant keeps backoffs short and deterministic.
 		Rand: func() float64 { return 0.01 },
 	})
 	ctx, stop := context.WithCancel(context.Background())
@@ -197,17 +196,17 @@
 	return r
 }
 
-func (r *rig) close() {
+func (r *harness) close() {
 	r.stop()
 	<-r.done
 	r.client.Close()
-	for _, made := range r.engines {
-		made.server.Close()
+	for _, eng := range r.engines {
+		eng.server.Close()
 	}
 }
 
-// change replaces the view by a changed copy.
-func (r *rig) change(edit func(*cluster.View)) {
+// updateView replaces the view with an edited copy.
+func (r *harness) updateView(edit func(*cluster.View)) {
 	r.holder.Update(func(old *cluster.View) *cluster.View {
 		next := *old
 		next.Engines = slices.Clone(old.Engines)
@@ -221,20 +220,20 @@
 func task(id string) dispatch.Task {
 	return dispatch.Task{
 		RequestID: id, Class: dispatch.ClassInteractive, Pool: "pool", Caller: "app", Prompt: id, MaxTokens: 100,
-		Repeatable: true, Deadline: time.Now().Add(patience),
+		Repeatable: true, Deadline: time.Now().Add(testTimeout),
 	}
 }
 
-// start dispatches in the background.
-func (r *rig) start(ctx context.Context, t dispatch.Task) <-chan dispatch.Result {
+// dispatchAsync dispatches in the background and returns a channel for the result.
+func (r *harness) dispatchAsync(ctx context.Context, t dispatch.Task) <-chan dispatch.Result {
 	results := make(chan dispatch.Result, 1)
 	go func() { results <- r.manager.Dispatch(ctx, t, nil) }()
 	return results
 }
 
-// eventually waits for a condition.
+// eventually fails the test if a condition does not become true within testTimeout.
 func eventually(condition func() bool) {
-	for deadline := time.Now().Add(patience); !condition() && time.Now().Before(deadline); {
+	for deadline := time.Now().Add(testTimeout); !condition() && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
 	}
 	So(condition(), ShouldBeTrue)
--- a/internal/dispatch/manager.go
+++ b/internal/dispatch/manager.go
@@ -21,15 +21,14 @@
 	"github.com/covelink/covelink/internal/telemetry"
 )
 
-// The intervals of the Manager.
 const (
-	// resyncInterval is how often waiting requests are tried again without an event: holds and backoffs end by time.
+	// resyncInterval is the interval of placement without an event; it covers holds and backoffs that expire.
 	resyncInterval = 50 * time.Millisecond
-	// unavailableRetryAfter is the advice to a request that this node does not take at present.
+	// unavailableRetryAfter is the Retry-After of a request that this node cannot accept at present.
 	unavailableRetryAfter = time.Second
-	// cancelTimeout bounds the telling of an engine that an attempt is given up.
+	// cancelTimeout bounds a cancel call to an engine.
 	cancelTimeout = time.Second
-	// maxBudgets bounds the retry budgets kept.
+	// maxBudgets is the maximum number of retry budgets; all are reset when it is reached.
 	maxBudgets = 4096
 )
 
@@ -42,18 +41,18 @@
 	Stream(
 		ctx context.Context, target engine.Target, request enginev1.CompletionRequest, onChunk func(engine.Chunk) error,
 	) engine.StreamResult
-	// Cancel tells an engine that an attempt is given up.
+	// Cancel asks an engine to stop an attempt.
 	Cancel(ctx context.Context, url string, request enginev1.CancelRequest) error
 }
 
-// Params are what a Manager needs.
+// Params holds the dependencies and settings of a Manager.
 type Params struct {
 	Source  cluster.Source
 	Self    cluster.Node
 	Engines EngineClient
 	Limits  settings.Limits
 	Logger  log.Logger
-	// Registerer takes the metrics; nil leaves them unregistered.
+	// Registerer registers the metrics; nil leaves them unregistered.
 	Registerer prometheus.Registerer
 	// Now is the clock; nil means time.Now. It must advance as the runtime's timers do.
 	Now func() time.Time
@@ -63,9 +62,9 @@
 
 // Manager implements Dispatcher.
 //
-// One loop decides on every waiting task whenever a task arrives or ends and whenever the view changes. The permitted
-// zones are checked at the placement and again, against the then current view, just before a request is sent.
-// A task that is given up gets its final result at once.
+// One loop places queued tasks whenever a task arrives or ends and whenever the view changes. Permitted zones are checked
+// at the placement and again, against the current view, just before a request is sent. A cancelled task gets its final
+// result without waiting for the engine.
 type Manager struct {
 	params  Params
 	logger  log.Logger
@@ -74,10 +73,12 @@
 	base context.Context
 	stop context.CancelCauseFunc
 	wake chan struct{}
-	// active holds the tasks inside Dispatch, background the cancels on their way to engines.
-	active     sync.WaitGroup
+	// active counts the tasks inside Dispatch.
+	active sync.WaitGroup
+	// background counts the cancel calls to engines in progress.
 	background sync.WaitGroup
 
+	// mu guards the fields below.
 	mu       sync.Mutex
 	core     *Core
 	waiters  map[uint64]chan Placement
@@ -88,7 +89,7 @@
 
 var _ Dispatcher = (*Manager)(nil)
 
-// New returns a Manager. Tasks wait until Run is called.
+// New returns a Manager. Tasks stay queued until Run is called.
 func New(params Params) *Manager {
 	if params.Now == nil {
 		params.Now = time.Now
@@ -115,8 +116,8 @@
 	return m
 }
 
-// Run places waiting tasks until ctx ends. It then ends every task, and returns when all have returned. It must be
-// called once.
+// Run places queued tasks until ctx ends. It then ends every task and returns once all calls of Dispatch have returned. It
+// must be called once.
 func (m *Manager) Run(ctx context.Context) {
 	ticker := time.NewTicker(resyncInterval)
 	defer ticker.Stop()
@@ -133,7 +134,7 @@
 	m.shutdown()
 }
 
-// Drain refuses new tasks as not run and returns when every task already taken has its result, or with ctx's error.
+// Drain refuses new tasks as not run and returns when every admitted task has its result, or with ctx's error.
 // It may be called more than once.
 func (m *Manager) Drain(ctx context.Context) error {
 	m.mu.Lock()
@@ -156,21 +157,21 @@
 // Dispatch implements Dispatcher.
 func (m *Manager) Dispatch(ctx context.Context, task Task, progress func(Progress) error) Result {
 	started := m.params.Now()
-	if refusal := m.enter(task, started); refusal != nil {
-		m.metrics.refused(refusal.Reason)
+	if refusal := m.admit(task, started); refusal != nil {
+		m.metrics.recordRefusal(refusal.Reason)
 		result := Result{Outcome: v1.OutcomeNotRun, Tokens: task.Resume, Segments: task.ResumeSegments, Err: refusal.Err}
-		m.metrics.finished(task.Class, result.Outcome, m.params.Now().Sub(started))
+		m.metrics.recordResult(task.Class, result.Outcome, m.params.Now().Sub(started))
 		return result
 	}
 	defer m.active.Done()
 	ctx, cancel := m.taskContext(ctx, task, started)
 	defer cancel()
 	result := newExecution(m, task, progress).complete(ctx)
-	m.metrics.finished(task.Class, result.Outcome, m.params.Now().Sub(started))
+	m.metrics.recordResult(task.Class, result.Outcome, m.params.Now().Sub(started))
 	return result
 }
 
-// taskContext ends at the task's deadline and when the Manager stops.
+// taskContext returns a context that ends at the task's deadline and when the Manager stops.
 func (m *Manager) taskContext(ctx context.Context, task Task, now time.Time) (context.Context, context.CancelFunc) {
 	ctx, cancelCause := context.WithCancelCause(ctx)
 	release := context.AfterFunc(m.base, func() { cancelCause(errStopped) })
@@ -185,8 +186,8 @@
 	}
 }
 
-// enter counts a task as active, or refuses it.
-func (m *Manager) enter(task Task, now time.Time) *Refusal {
+// admit counts a task as active, or refuses it.
+func (m *Manager) admit(task Task, now time.Time) *Refusal {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	view := m.params.Source.Current()
@@ -196,7 +197,7 @@
 	case !view.ServingAt(now):
 		return notServing(view)
 	case view.Pools[task.Pool] == nil:
-		return refuse(reasonPool, v1.CodeNotFound, 0, "no such pool")
+		return refuse(reasonPoolNotFound, v1.CodeNotFound, 0, "pool not found")
 	case !task.Deadline.IsZero() && !now.Before(task.Deadline):
 		return refuse(reasonDeadline, v1.CodeDeadlineExceeded, unavailableRetryAfter, "the deadline has passed")
 	}
@@ -205,10 +206,10 @@
 }
 
 func notServing(view *cluster.View) *Refusal {
-	return refuse(reasonNotServing, v1.CodeUnavailable, unavailableRetryAfter, "node takes no new work: "+view.WhyNotServing())
+	return refuse(reasonNotServing, v1.CodeUnavailable, unavailableRetryAfter, "node is not serving: "+view.WhyNotServing())
 }
 
-// shutdown ends every task. Waiting ones are refused before the streams are cut.
+// shutdown ends every task. Queued tasks are refused before the streams are cancelled.
 func (m *Manager) shutdown() {
 	m.mu.Lock()
 	m.stopped = true
@@ -219,8 +220,8 @@
 	m.background.Wait()
 }
 
-// kick wakes the loop.
-func (m *Manager) kick() {
+// wakeLoop triggers a placement by Run. It does not block.
+func (m *Manager) wakeLoop() {
 	select {
 	case m.wake <- struct{}{}:
 	default:
--- a/internal/dispatch/metrics.go
+++ b/internal/dispatch/metrics.go
@@ -8,21 +8,21 @@
 	v1 "github.com/covelink/covelink/api/v1"
 )
 
-// The reasons that refusals are counted by, besides those of the queue.
+// Values of the reason label, besides the rejection reasons of the queue.
 const (
-	reasonDraining   = "draining"
-	reasonNotServing = "not_serving"
-	reasonPool       = "pool"
-	reasonDeadline   = "deadline"
-	reasonCancelled  = "cancelled"
-	reasonNoEngine   = "no_engine"
-	reasonInvalid    = "invalid"
-	reasonBroken     = "broken"
-	reasonLost       = "lost"
-	reasonBudget     = "retry_budget"
+	reasonDraining     = "draining"
+	reasonNotServing   = "not_serving"
+	reasonPoolNotFound = "pool"
+	reasonDeadline     = "deadline"
+	reasonCancelled    = "cancelled"
+	reasonNoEngine     = "no_engine"
+	reasonInvalid      = "invalid"
+	reasonChecksum     = "broken"
+	reasonEngineLost   = "lost"
+	reasonBudget       = "retry_budget"
 )
 
-// String returns the class as metrics and logs name it.
+// String returns the name of the class in metrics and logs.
 func (c Class) String() string {
 	if c == ClassInteractive {
 		return "interactive"
@@ -30,32 +30,32 @@
 	return "rollout"
 }
 
-// EngineObservation is what the Manager knows of one engine besides the view.
+// EngineObservation is the Manager's own state of one engine, as opposed to its entry in the view.
 type EngineObservation struct {
 	Name     string
 	InFlight int
 	Version  int64
-	// Usable is false while the engine gets no new requests because of its own failures or refusals.
+	// Usable is false while the engine gets no new requests because of failures or refusals.
 	Usable bool
 }
 
-// Observations is a reading of a Manager.
+// Observations is a snapshot of the state of a Manager.
 type Observations struct {
 	InFlightInteractive int
 	InFlightRollout     int
 	QueuedInteractive   int
 	QueuedRollout       int
-	// QueuedTokens is the expected number of tokens of the waiting tasks.
+	// QueuedTokens is the expected number of tokens of the queued tasks.
 	QueuedTokens int64
 	Engines      []EngineObservation
 }
 
-// Observations returns a reading of the present state.
+// Observations returns a snapshot of the current state.
 func (m *Manager) Observations() Observations {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.params.Now()
-	reading := Observations{
+	observations := Observations{
 		InFlightInteractive: m.core.inFlight[ClassInteractive],
 		InFlightRollout:     m.core.inFlight[ClassRollout],
 		QueuedInteractive:   m.core.queue.Len(true),
@@ -63,14 +63,14 @@
 		QueuedTokens:        m.core.queue.Tokens(),
 	}
 	for index, state := range m.core.snapshot.States {
-		reading.Engines = append(reading.Engines, EngineObservation{
+		observations.Engines = append(observations.Engines, EngineObservation{
 			Name:     m.core.snapshot.View.Engines[index].Name,
 			InFlight: state.InFlight,
 			Version:  state.Version,
 			Usable:   state.Usable(now),
 		})
 	}
-	return reading
+	return observations
 }
 
 type metrics struct {
@@ -106,13 +106,13 @@
 func gauges(m *Manager) []prometheus.Collector {
 	return []prometheus.Collector{
 		gauge("covelink_dispatch_in_flight", "Tasks on engines.", ClassInteractive,
-			func() float64 { return float64(m.count(func() int { return m.core.inFlight[ClassInteractive] })) }),
+			func() float64 { return float64(m.readLocked(func() int { return m.core.inFlight[ClassInteractive] })) }),
 		gauge("covelink_dispatch_in_flight", "Tasks on engines.", ClassRollout,
-			func() float64 { return float64(m.count(func() int { return m.core.inFlight[ClassRollout] })) }),
+			func() float64 { return float64(m.readLocked(func() int { return m.core.inFlight[ClassRollout] })) }),
 		gauge("covelink_dispatch_queue_length", "Tasks that wait.", ClassInteractive,
-			func() float64 { return float64(m.count(func() int { return m.core.queue.Len(true) })) }),
+			func() float64 { return float64(m.readLocked(func() int { return m.core.queue.Len(true) })) }),
 		gauge("covelink_dispatch_queue_length", "Tasks that wait.", ClassRollout,
-			func() float64 { return float64(m.count(func() int { return m.core.queue.Len(false) })) }),
+			func() float64 { return float64(m.readLocked(func() int { return m.core.queue.Len(false) })) }),
 	}
 }
 
@@ -122,20 +122,22 @@
 	}, read)
 }
 
-func (m *Manager) count(read func() int) int {
+func (m *Manager) readLocked(read func() int) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return read()
 }
 
-func (m *metrics) attempted(outcome v1.Outcome) { m.attempts.WithLabelValues(string(outcome)).Inc() }
+func (m *metrics) recordAttempt(outcome v1.Outcome) {
+	m.attempts.WithLabelValues(string(outcome)).Inc()
+}
 
-func (m *metrics) refused(reason string) { m.refusals.WithLabelValues(reason).Inc() }
+func (m *metrics) recordRefusal(reason string) { m.refusals.WithLabelValues(reason).Inc() }
 
-func (m *metrics) waited(class Class, wait time.Duration) {
+func (m *metrics) recordWait(class Class, wait time.Duration) {
 	m.waits.WithLabelValues(class.String()).Observe(wait.Seconds())
 }
 
-func (m *metrics) finished(class Class, outcome v1.Outcome, duration time.Duration) {
+func (m *metrics) recordResult(class Class, outcome v1.Outcome, duration time.Duration) {
 	m.durations.WithLabelValues(class.String(), string(outcome)).Observe(duration.Seconds())
 }
--- a/internal/dispatch/metrics_test.go
+++ b/internal/dispatch/metrics_test.go
@@ -15,7 +15,7 @@
 )
 
 func TestMetrics(t *testing.T) {
-	Convey("The metrics register once each and count what was refused", t, func() {
+	Convey("Each metric registers once, and refusals are counted by reason", t, func() {
 		holder := cluster.NewHolder()
 		registry := prometheus.NewRegistry()
 		manager := dispatch.New(dispatch.Params{
--- a/internal/dispatch/overload_test.go
+++ b/internal/dispatch/overload_test.go
@@ -16,9 +16,9 @@
 	"github.com/covelink/covelink/internal/scheduler"
 )
 
-func TestRequestsCarryThePoolsSlots(t *testing.T) {
-	Convey("Engines are told the slots of the class, so that they refuse what many nodes together send too much", t, func() {
-		r := newRig("a")
+func TestRequestCarriesSlotLimit(t *testing.T) {
+	Convey("Requests carry the slot limit of the class, so that engines can enforce it across nodes", t, func() {
+		r := newHarness("a")
 		defer r.close()
 		rollout := task("rollout")
 		rollout.Class = dispatch.ClassRollout
@@ -30,14 +30,14 @@
 	})
 }
 
-// coreRig is a Core with one engine of two slots.
-type coreRig struct {
+// coreHarness drives a Core with one engine of two slots in virtual time.
+type coreHarness struct {
 	core *dispatch.Core
 	now  time.Time
 	last dispatch.Placement
 }
 
-func newCoreRig() *coreRig {
+func newCoreHarness() *coreHarness {
 	view := &cluster.View{
 		Serving: true,
 		Zones:   map[string]*v1.Zone{"a": {}},
@@ -45,29 +45,29 @@
 		Engines: []cluster.Engine{{Name: "e", Pool: "pool", Zone: "a", Incarnation: "1", ActiveVersion: 1}},
 	}
 	limits := scheduler.QueueLimits{Requests: 100, Tokens: 1 << 20}
-	return &coreRig{core: dispatch.NewCore(view, "a", limits), now: time.Unix(0, 0)}
+	return &coreHarness{core: dispatch.NewCore(view, "a", limits), now: time.Unix(0, 0)}
 }
 
-func (r *coreRig) enqueue(left time.Duration) *dispatch.Refusal {
+func (r *coreHarness) enqueue(left time.Duration) *dispatch.Refusal {
 	item := scheduler.Item{Interactive: true, Pool: "pool", Caller: "c", Deadline: r.now.Add(left)}
 	_, refused := r.core.Enqueue(r.now, item, scheduler.Request{Pool: "pool", Interactive: true}, dispatch.ClassInteractive)
 	return refused
 }
 
-func (r *coreRig) place() dispatch.Placement {
+func (r *coreHarness) place() dispatch.Placement {
 	r.last = dispatch.Placement{}
-	r.core.Place(r.now, func(decided dispatch.Placement) { r.last = decided })
+	r.core.Place(r.now, func(decision dispatch.Placement) { r.last = decision })
 	return r.last
 }
 
-func (r *coreRig) answer(held *dispatch.Grant, took time.Duration) {
+func (r *coreHarness) answer(grant *dispatch.Grant, took time.Duration) {
 	r.now = r.now.Add(took)
-	r.core.Finished(r.now, held, &engine.StreamResult{Outcome: v1.OutcomeCompleted, Tokens: make([]string, 10)}, false, 0)
+	r.core.Finished(r.now, grant, &engine.StreamResult{Outcome: v1.OutcomeCompleted, Tokens: make([]string, 10)}, false, 0)
 }
 
-// measured returns a rig that has seen answers of two seconds.
-func measured() *coreRig {
-	r := newCoreRig()
+// newLoadedCoreHarness returns a coreHarness with an observed service time of two seconds.
+func newLoadedCoreHarness() *coreHarness {
+	r := newCoreHarness()
 	for range 8 {
 		So(r.enqueue(time.Minute), ShouldBeNil)
 		r.answer(r.place().Grant, 2*time.Second)
@@ -76,24 +76,24 @@
 }
 
 func TestCoreUnderOverload(t *testing.T) {
-	Convey("What cannot end by its deadline is refused as not run before it starts, with advice", t, func() {
-		r := measured()
+	Convey("A task that cannot finish by its deadline is refused on arrival as not run, with Retry-After", t, func() {
+		r := newLoadedCoreHarness()
 		refused := r.enqueue(time.Second)
 		So(refused, ShouldNotBeNil)
 		So(refused.Err.Outcome, ShouldEqual, v1.OutcomeNotRun)
 		So(refused.Err.RetryAfter, ShouldBeGreaterThan, 0)
 		So(r.enqueue(3*time.Second), ShouldBeNil)
 	})
-	Convey("What has waited until it cannot end any more is refused at once, though a slot is free", t, func() {
-		r := measured()
+	Convey("A queued task that can no longer finish by its deadline is refused even if a slot is free", t, func() {
+		r := newLoadedCoreHarness()
 		So(r.enqueue(3*time.Second), ShouldBeNil)
 		r.now = r.now.Add(1500 * time.Millisecond)
 		refused := r.place().Refusal
 		So(refused, ShouldNotBeNil)
 		So(refused.Err.Outcome, ShouldEqual, v1.OutcomeNotRun)
 	})
-	Convey("What waits too long for a slot is refused while all are taken, and not for any other reason", t, func() {
-		r := measured()
+	Convey("An overdue task is refused only while all slots are taken", t, func() {
+		r := newLoadedCoreHarness()
 		for range 2 {
 			So(r.enqueue(time.Minute), ShouldBeNil)
 			So(r.place().Grant, ShouldNotBeNil)
@@ -107,8 +107,8 @@
 		So(refused.Err.Outcome, ShouldEqual, v1.OutcomeNotRun)
 		So(refused.Err.RetryAfter, ShouldBeGreaterThan, 0)
 	})
-	Convey("An engine that refuses as full is left alone for a while, and asked again then", t, func() {
-		r := newCoreRig()
+	Convey("An engine that refuses a request as full gets no new requests for a while, then is tried again", t, func() {
+		r := newCoreHarness()
 		So(r.enqueue(time.Minute), ShouldBeNil)
 		full := &engine.StreamResult{Outcome: v1.OutcomeNotRun, Refusal: &enginev1.Refusal{Reason: enginev1.RefusedFull}}
 		r.core.Finished(r.now, r.place().Grant, full, false, 0.5)
--- a/internal/dispatch/permitted_test.go
+++ b/internal/dispatch/permitted_test.go
@@ -11,9 +11,10 @@
 	"github.com/covelink/covelink/internal/cluster"
 )
 
-// TestPermittedJustBeforeSending checks the second look at the rules, which covers views that changed after a placement.
+// TestPermittedJustBeforeSending covers view changes between the placement and the send, after which the grant must not be
+// used.
 func TestPermittedJustBeforeSending(t *testing.T) {
-	held := &Grant{engine: cluster.Engine{Name: "e", URL: "u", Pool: "pool", Zone: "a", Incarnation: "1"}}
+	grant := &Grant{engine: cluster.Engine{Name: "e", URL: "u", Pool: "pool", Zone: "a", Incarnation: "1"}}
 	cases := []struct {
 		name   string
 		change func(*cluster.View)
@@ -26,12 +27,12 @@
 		{"zone cordoned", func(v *cluster.View) { v.Zones["a"].Spec.Cordoned = true }, false},
 		{"engine draining", func(v *cluster.View) { v.Pools["pool"].Spec.DrainingEngines = []string{"e"} }, false},
 		{"engine leaving", func(v *cluster.View) { v.Engines[0].Leaving = true }, false},
-		{"engine gone", func(v *cluster.View) { v.Engines = nil }, false},
+		{"engine removed", func(v *cluster.View) { v.Engines = nil }, false},
 		{"engine restarted", func(v *cluster.View) { v.Engines[0].Incarnation = "2" }, false},
 		{"engine in another zone", func(v *cluster.View) { v.Engines[0].Zone = "b" }, false},
 		{"engine in another pool", func(v *cluster.View) { v.Engines[0].Pool = "other" }, false},
-		{"lease still held", func(v *cluster.View) { v.ServingUntil = time.Now().Add(time.Hour) }, true},
-		{"lease lapsed in a pause", func(v *cluster.View) { v.ServingUntil = time.Now().Add(-time.Nanosecond) }, false},
+		{"lease still valid", func(v *cluster.View) { v.ServingUntil = time.Now().Add(time.Hour) }, true},
+		{"lease expired", func(v *cluster.View) { v.ServingUntil = time.Now().Add(-time.Nanosecond) }, false},
 		{"node not serving", func(v *cluster.View) { v.Serving = false }, false},
 	}
 	for _, c := range cases {
@@ -40,13 +41,13 @@
 				Serving: true,
 				Zones:   map[string]*v1.Zone{"a": {}, "b": {}},
 				Pools:   map[string]*v1.Pool{"pool": {Spec: v1.PoolSpec{PermittedZones: []string{"a", "b"}}}},
-				Engines: []cluster.Engine{held.engine},
+				Engines: []cluster.Engine{grant.engine},
 			}
 			c.change(view)
 			holder := cluster.NewHolder()
 			holder.Update(func(*cluster.View) *cluster.View { return view })
 			manager := New(Params{Source: holder})
-			_, ok := manager.permitted(&Task{Pool: "pool"}, held)
+			_, ok := manager.permitted(&Task{Pool: "pool"}, grant)
 			So(ok, ShouldEqual, c.ok)
 		})
 	}
--- a/internal/dispatch/placement.go
+++ b/internal/dispatch/placement.go
@@ -10,26 +10,26 @@
 	"github.com/covelink/covelink/internal/scheduler"
 )
 
-// errReplaced is the cause of the end of an attempt whose engine has restarted.
-var errReplaced = errors.New("engine has restarted")
+// errEngineRestarted is the cancellation cause of an attempt whose engine has restarted.
+var errEngineRestarted = errors.New("engine has restarted")
 
-// acquire waits for a slot. On the end of ctx it returns a refusal with the reason.
+// acquire waits for a slot. It returns a refusal if the task is refused or ctx ends first.
 func (m *Manager) acquire(ctx context.Context, run *Run) (*Grant, *Refusal) {
 	id, placed, refused := m.enqueue(run)
 	if refused != nil {
 		return nil, refused
 	}
-	m.kick()
+	m.wakeLoop()
 	select {
 	case decision := <-placed:
 		return decision.Grant, decision.Refusal
 	case <-ctx.Done():
-		m.abandon(id, placed)
-		return nil, m.ended(ctx, run.Item())
+		m.cancelWait(id, placed)
+		return nil, m.contextRefusal(ctx, run.Item())
 	}
 }
 
-// enqueue returns the channel that receives exactly one placement, unless the task is removed from the queue before.
+// enqueue queues a task and returns a channel that receives exactly one placement, unless the task is removed first.
 func (m *Manager) enqueue(run *Run) (uint64, chan Placement, *Refusal) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -45,8 +45,8 @@
 	return id, placed, nil
 }
 
-// abandon takes a waiter out. A slot that was granted meanwhile is given back.
-func (m *Manager) abandon(id uint64, placed chan Placement) {
+// cancelWait removes a queued task. A slot that was granted in the meantime is released.
+func (m *Manager) cancelWait(id uint64, placed chan Placement) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.core.Remove(id) {
@@ -55,19 +55,19 @@
 	}
 	if decision := <-placed; decision.Grant != nil {
 		m.core.GiveBack(decision.Grant)
-		m.kick()
+		m.wakeLoop()
 	}
 }
 
-// ended says why a task that waited was given up.
-func (m *Manager) ended(ctx context.Context, item scheduler.Item) *Refusal {
+// contextRefusal returns the refusal for the cause that contextRefusal ctx.
+func (m *Manager) contextRefusal(ctx context.Context, item scheduler.Item) *Refusal {
 	switch cause := context.Cause(ctx); {
 	case errors.Is(cause, errStopped):
 		return refuse(reasonDraining, v1.CodeUnavailable, unavailableRetryAfter, errStopped.Error())
 	case errors.Is(cause, context.DeadlineExceeded):
-		return refuse(reasonDeadline, v1.CodeDeadlineExceeded, m.retryAfter(item), "the deadline passed while the request waited")
+		return refuse(reasonDeadline, v1.CodeDeadlineExceeded, m.retryAfter(item), "the deadline passed in the queue")
 	default:
-		return refuse(reasonCancelled, v1.CodeUnavailable, unavailableRetryAfter, "the caller gave the request up")
+		return refuse(reasonCancelled, v1.CodeUnavailable, unavailableRetryAfter, "the caller cancelled the request")
 	}
 }
 
@@ -77,7 +77,7 @@
 	return max(unavailableRetryAfter, m.core.Wait(m.params.Now(), item))
 }
 
-// place brings the core to the current view and decides on every waiting task.
+// place applies the current view and tries to place every queued task.
 func (m *Manager) place() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -87,46 +87,45 @@
 		m.refuseWaiting(notServing(view))
 		return
 	}
-	m.core.Place(now, m.decided)
+	m.core.Place(now, m.deliver)
 }
 
-// decided hands a placement to its waiter. The caller holds the lock.
-func (m *Manager) decided(decision Placement) {
+// deliver sends a placement to its waiter. The caller holds m.mu.
+func (m *Manager) deliver(decision Placement) {
 	if decision.Grant != nil {
-		m.metrics.waited(decision.Grant.class, decision.Grant.waited)
+		m.metrics.recordWait(decision.Grant.class, decision.Grant.waited)
 	}
 	placed := m.waiters[decision.ID]
 	delete(m.waiters, decision.ID)
 	placed <- decision
 }
 
-// refresh takes over a new view and ends the attempts on engines that have restarted.
+// refresh applies the current view and cancels attempts on engines that have restarted. The caller holds m.mu.
 func (m *Manager) refresh() {
 	if !m.core.Refresh(m.params.Source.Current()) {
 		return
 	}
-	for held, cancel := range m.running {
-		if m.core.Replaced(held) {
-			cancel(errReplaced)
+	for grant, cancel := range m.running {
+		if m.core.Replaced(grant) {
+			cancel(errEngineRestarted)
 		}
 	}
 }
 
-// refuseWaiting refuses every waiting task. The caller holds the lock.
+// refuseWaiting refuses every queued task. The caller holds m.mu.
 func (m *Manager) refuseWaiting(refused *Refusal) {
 	for _, id := range m.core.Waiting() {
 		m.core.Remove(id)
-		m.decided(Placement{ID: id, Refusal: refused})
+		m.deliver(Placement{ID: id, Refusal: refused})
 	}
 }
 
-// permitted checks a grant against the current view, which may be newer than the one it was decided on, and returns
-// the pool's permitted zones.
-func (m *Manager) permitted(task *Task, held *Grant) ([]string, bool) {
-	return Permitted(m.params.Now(), m.params.Source.Current(), task.Pool, held)
+// permitted calls Permitted with the current view.
+func (m *Manager) permitted(task *Task, grant *Grant) ([]string, bool) {
+	return Permitted(m.params.Now(), m.params.Source.Current(), task.Pool, grant)
 }
 
-// Explain tells where a task would be placed now, and which filter removes how many engines.
+// Explain returns where a task would be placed now, and how many engines each filter removes.
 func (m *Manager) Explain(task Task) scheduler.Decision {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/dispatch/run.go
+++ b/internal/dispatch/run.go
@@ -12,56 +12,57 @@
 	"github.com/covelink/covelink/internal/scheduler"
 )
 
-// The backoff between attempts, and the greatest number of attempts of an unknown outcome.
 const (
+	// retryBaseDelay and retryMaxDelay bound the backoff between attempts.
 	retryBaseDelay = 10 * time.Millisecond
 	retryMaxDelay  = time.Second
-	maxUnknown     = 1<<attemptBits - 1
+	// maxUnknown is the maximum number of attempts with an unknown outcome; it is the largest count that fits attemptBits.
+	maxUnknown = 1<<attemptBits - 1
 	// attemptBits is the number of low bits of an engine's attempt number that count the attempts within a task.
 	attemptBits = 8
 )
 
-// EngineAttempt returns the attempt number that engines see: that of the task and, in its low eight bits, how often
-// the task was resumed. The frames of an attempt that was given up never match those of a later one.
+// EngineAttempt returns the attempt number sent to engines: the task's attempt number and, in the low eight bits, the
+// number of times the task was resumed. It keeps frames of an earlier attempt from matching a later one.
 func EngineAttempt(taskAttempt uint32, resumed int) uint32 {
 	return taskAttempt<<attemptBits | uint32(resumed)
 }
 
-// Run is the state of one task over its attempts, and decides what follows each. Like Core it is pure, and not safe for
-// concurrent use.
+// Run is the state of one task across its attempts and decides what follows each of them. Like Core it has no clock or I/O
+// and is not safe for concurrent use.
 type Run struct {
 	Task     Task
 	tokens   []string
 	segments []v1.Segment
-	// reported is the number of tokens that the consumer was told, those of Task.Resume included.
+	// reported is the number of tokens passed to the consumer, including those of Task.Resume.
 	reported int
-	// unknown counts the attempts of an unknown outcome; after one of them the task can only complete or stay unknown.
-	unknown  int
-	failures int
-	admitted bool
-	last     string
-	// since is the time of the task's arrival, as its first grant told it.
+	// unknown counts attempts with an unknown outcome. After the first, the task's outcome is completed or unknown.
+	unknown    int
+	failures   int
+	admitted   bool
+	lastEngine string
+	// since is the time of the task's first arrival in the queue; zero before the first attempt.
 	since    time.Time
 	engine   string
 	attempts int
 }
 
-// NewRun returns the run of a task that has had no attempt.
+// NewRun returns the Run of a task before its first attempt.
 func NewRun(task Task) *Run {
 	return &Run{Task: task, tokens: task.Resume, segments: task.ResumeSegments, reported: len(task.Resume)}
 }
 
-// Step says what follows an attempt.
+// Step is what follows an attempt: a final result, or another attempt after a delay.
 type Step struct {
-	// Result is final when it is not nil.
+	// Result is the final result; nil means that another attempt follows.
 	Result *Result
-	// Reason is that of a final result which is not a completion.
+	// Reason is the metrics reason of a final result other than a completion.
 	Reason string
 	// Delay is the wait before the next attempt.
 	Delay time.Duration
 }
 
-// Item returns what the queue needs to know of the task now.
+// Item returns the queue item for the current state of the task.
 func (r *Run) Item() scheduler.Item {
 	return scheduler.Item{
 		Interactive: r.Task.Class == ClassInteractive,
@@ -77,7 +78,7 @@
 	}
 }
 
-// SchedulerRequest returns what the scheduler needs to know of the task now.
+// SchedulerRequest returns the scheduler request for the current state of the task.
 func (r *Run) SchedulerRequest() scheduler.Request {
 	return scheduler.Request{
 		Pool:          r.Task.Pool,
@@ -87,16 +88,16 @@
 		PrefixKey:     r.Task.PrefixKey,
 		TieKey:        rendezvous.Hash(r.Task.RequestID),
 		Avoid:         r.Task.AvoidEngines,
-		Last:          r.last,
+		Last:          r.lastEngine,
 	}
 }
 
-// Granted takes note that the task has left the queue with a slot.
+// Granted records that the task has been granted a slot, so that it is queued as readmitted from now on.
 func (r *Run) Granted() { r.admitted = true }
 
-// Request returns the next attempt on the grant's engine.
-func (r *Run) Request(held *Grant, pool v1.PoolSpec, zones []string) enginev1.CompletionRequest {
-	held.resumed = len(r.tokens)
+// Request returns the completion request of the next attempt, addressed to the grant's engine.
+func (r *Run) Request(grant *Grant, pool v1.PoolSpec, zones []string) enginev1.CompletionRequest {
+	grant.resumed = len(r.tokens)
 	priority := enginev1.PriorityRollout
 	if r.Task.Class == ClassInteractive {
 		priority = enginev1.PriorityInteractive
@@ -105,7 +106,7 @@
 		Model:          pool.Model,
 		RequestID:      r.Task.RequestID,
 		Attempt:        EngineAttempt(r.Task.Attempt, r.unknown),
-		Incarnation:    held.engine.Incarnation,
+		Incarnation:    grant.engine.Incarnation,
 		Prompt:         r.Task.Prompt,
 		Resume:         r.tokens,
 		MaxTokens:      boundedTokens(r.Task.MaxTokens, pool.MaxTokens),
@@ -118,79 +119,79 @@
 	}
 }
 
-// ResumeSegments returns the versions of the tokens that the next attempt resumes.
+// ResumeSegments returns the weight versions of the tokens that the next attempt resumes from.
 func (r *Run) ResumeSegments() []v1.Segment { return r.segments }
 
-// Reported takes note of how many tokens of the answer the consumer was told.
+// Reported records the number of tokens of the answer that were passed to the consumer.
 func (r *Run) Reported(tokens int) { r.reported = tokens }
 
-// Take takes over what an attempt has verified.
-func (r *Run) Take(held *Grant, result *engine.StreamResult) {
+// Take records the verified tokens and segments of an attempt, and its engine.
+func (r *Run) Take(grant *Grant, result *engine.StreamResult) {
 	r.tokens = result.Tokens
 	r.segments = result.Segments
 	if result.Outcome != v1.OutcomeNotRun || result.Refusal != nil {
-		r.engine = held.engine.Name
+		r.engine = grant.engine.Name
 		r.attempts++
 	}
-	r.last = held.engine.Name
-	r.since = held.since
+	r.lastEngine = grant.engine.Name
+	r.since = grant.since
 }
 
-// Judge decides what follows an attempt that Take has taken over. ended is not nil when the task itself ended the
-// attempt, and says why. random is uniform in [0, 1).
-func (r *Run) Judge(core *Core, ended *Refusal, result *engine.StreamResult, random float64) Step {
+// Judge decides what follows an attempt that Take has recorded. aborted is the reason if the task itself ended
+// the attempt, else nil. random is uniform in [0, 1).
+func (r *Run) Judge(core *Core, aborted *Refusal, result *engine.StreamResult, random float64) Step {
 	switch result.Outcome {
 	case v1.OutcomeCompleted:
-		core.succeeded(r.Task.Caller)
+		core.creditRetry(r.Task.Caller)
 		final := r.result(v1.OutcomeCompleted, nil)
 		final.FinishReason = result.FinishReason
 		return Step{Result: &final}
 	case v1.OutcomeNotRun:
-		return r.afterNotRun(ended, result, random)
+		return r.afterNotRun(aborted, result, random)
 	default:
 		r.unknown++
-		return r.afterUnknown(core, ended, result, random)
+		return r.afterUnknown(core, aborted, result, random)
 	}
 }
 
-func (r *Run) afterNotRun(ended *Refusal, result *engine.StreamResult, random float64) Step {
-	if ended != nil {
-		return r.GiveUp(ended)
+func (r *Run) afterNotRun(aborted *Refusal, result *engine.StreamResult, random float64) Step {
+	if aborted != nil {
+		return r.GiveUp(aborted)
 	}
 	if result.Refusal != nil && result.Refusal.Reason == enginev1.RefusedInvalid {
 		return r.GiveUp(refuse(reasonInvalid, v1.CodeInvalid, 0, "the engine refused the request as invalid"))
 	}
 	if result.Refusal != nil && result.Refusal.Reason == enginev1.RefusedFull {
-		// The engine's window keeps the next attempt off that engine; another one may have room at once.
+		// No backoff: the engine's window keeps the next attempt off it, and another engine may have a free slot.
 		return Step{}
 	}
-	return r.again(random)
+	return r.retry(random)
 }
 
-func (r *Run) afterUnknown(core *Core, ended *Refusal, result *engine.StreamResult, random float64) Step {
+func (r *Run) afterUnknown(core *Core, aborted *Refusal, result *engine.StreamResult, random float64) Step {
 	switch {
-	case ended != nil:
-		return r.GiveUp(ended)
+	case aborted != nil:
+		return r.GiveUp(aborted)
 	case errors.Is(result.Err, engine.ErrConsumer):
-		return r.GiveUp(refuse(reasonCancelled, v1.CodeUnavailable, 0, "the consumer of the answer ended it"))
+		return r.GiveUp(refuse(reasonCancelled, v1.CodeUnavailable, 0, "the consumer of the answer cancelled the request"))
 	case r.reported > len(r.tokens):
-		// The failed checksum covers tokens that were passed on already; they cannot be taken back.
-		return r.GiveUp(refuse(reasonBroken, v1.CodeInternal, 0, "the answer failed its checksum"))
+		// The checksum failed for tokens that the consumer already has, so the answer cannot be restarted.
+		return r.GiveUp(refuse(reasonChecksum, v1.CodeInternal, 0, "the answer failed its checksum"))
 	case !r.Task.Repeatable:
-		return r.GiveUp(refuse(reasonLost, v1.CodeUnavailable, 0, "the engine was lost and the request must not be repeated"))
-	case r.unknown >= maxUnknown || !core.mayRetry(r.Task.Caller):
-		return r.GiveUp(refuse(reasonBudget, v1.CodeUnavailable, 0, "the engine was lost and the retry budget is spent"))
+		return r.GiveUp(refuse(reasonEngineLost, v1.CodeUnavailable, 0, "engine connection lost; the request is not repeatable"))
+	case r.unknown >= maxUnknown || !core.withdrawRetry(r.Task.Caller):
+		return r.GiveUp(refuse(reasonBudget, v1.CodeUnavailable, 0, "engine connection lost; the retry budget is exhausted"))
 	}
-	return r.again(random)
+	return r.retry(random)
 }
 
-func (r *Run) again(random float64) Step {
+func (r *Run) retry(random float64) Step {
 	delay := scheduler.FullJitter(retryBaseDelay, retryMaxDelay, r.failures, random)
 	r.failures++
 	return Step{Delay: delay}
 }
 
-// GiveUp is the final step of a task that does not complete. It is not run only when no attempt has an unknown outcome.
+// GiveUp returns the final step of a task that does not complete. If any attempt had an unknown outcome, so has the task.
 func (r *Run) GiveUp(refused *Refusal) Step {
 	final := *refused.Err
 	if r.unknown > 0 {
@@ -212,10 +213,11 @@
 	}
 }
 
-// boundedTokens returns the length to ask for: that of the task, but not above the pool's, which also stands in for none.
-func boundedTokens(asked, bound int) int {
-	if bound > 0 && (asked <= 0 || asked > bound) {
-		return bound
+// boundedTokens caps the requested number of tokens at the limit of the pool, which is also the default if none is
+// requested. A limit of 0 means no cap.
+func boundedTokens(requested, limit int) int {
+	if limit > 0 && (requested <= 0 || requested > limit) {
+		return limit
 	}
-	return asked
+	return requested
 }
--- a/internal/dispatch/task.go
+++ b/internal/dispatch/task.go
@@ -1,5 +1,5 @@
-// Package dispatch runs one request on an engine: it waits for a slot, asks the scheduler for a
-// placement, streams the answer and accounts for the engine's load.
+// Package dispatch runs requests on engines: it queues a request, places it on an engine through the scheduler, streams
+// the answer and tracks the load of the engine.
 package dispatch
 
 import (
@@ -9,10 +9,10 @@
 	v1 "github.com/covelink/covelink/api/v1"
 )
 
-// Class orders work: interactive lookups go before rollouts.
+// Class is the priority class of a task: interactive lookups are placed before rollouts.
 type Class int
 
-// The classes.
+// Priority classes.
 const (
 	ClassRollout Class = iota
 	ClassInteractive
@@ -24,7 +24,7 @@
 	Attempt   uint32
 	Class     Class
 	Pool      string
-	// Caller is the trainer or application; limits and fair shares count by it.
+	// Caller is the trainer or application; limits and fair shares apply per caller.
 	Caller string
 	// Weight is the caller's fair share; 0 means 1.
 	Weight    int
@@ -42,20 +42,20 @@
 	PreferVersion int64
 	// AvoidEngines names engines that must not be chosen, for example those of other attempts.
 	AvoidEngines []string
-	// Repeatable tasks may be run again after an unknown outcome. A task that is not repeatable
-	// is written to at most one engine, except after that engine's own refusal.
+	// Repeatable permits another attempt after an unknown outcome. A task that is not repeatable is sent to at most one
+	// engine, not counting engines that refused it.
 	Repeatable bool
-	// Rank orders the rollouts of a caller: a lower one goes first, whatever its length.
+	// Rank orders the rollouts of a caller; a lower rank goes first, regardless of length.
 	Rank int64
-	// ExpectedTokens predicts the length for longest-first order; 0 means unknown.
+	// ExpectedTokens is the predicted length, used for longest-first order; 0 means unknown.
 	ExpectedTokens int
-	// Deadline bounds the whole task; a task that cannot start before it is refused as not run.
+	// Deadline bounds the whole task; a task that cannot start before its deadline is refused as not run.
 	Deadline time.Time
 }
 
-// Progress is a run of tokens of a task, in order and without gaps, as checked by the stream assembly.
+// Progress is a chunk of verified tokens of a task; chunks arrive in order and without gaps.
 type Progress struct {
-	// Index is the index of the first token within the answer, resumed tokens included.
+	// Index is the index of the first token within the answer, including resumed tokens.
 	Index   int
 	Tokens  []string
 	Version int64
@@ -65,22 +65,22 @@
 // Result is the outcome of a task.
 type Result struct {
 	Outcome v1.Outcome
-	// Tokens is the whole answer when Outcome is completed, else the verified tokens so far, resumed ones included.
+	// Tokens is the whole answer if Outcome is completed, else the verified tokens so far, including resumed ones.
 	Tokens       []string
 	Segments     []v1.Segment
 	FinishReason string
-	// Engine is the last engine that the request was written to; empty if none.
+	// Engine is the last engine that the request was sent to; empty if none.
 	Engine string
-	// Attempts counts the engines the request was written to.
+	// Attempts is the number of times that the request was sent to an engine.
 	Attempts int
 	// Err is nil when Outcome is completed.
 	Err *v1.Error
 }
 
-// Dispatcher runs tasks. Dispatch blocks until the task's outcome is known or ctx ends; when ctx ends, the
-// engine's stream is cancelled. progress, if not nil, is called in order from one goroutine; an error from
-// it cancels the task. When an answer is started anew from token zero, progress is not called again for
-// tokens already reported: the dispatcher resumes by prefix instead.
+// Dispatcher runs tasks.
 type Dispatcher interface {
+	// Dispatch blocks until the task's outcome is known or ctx ends, which cancels the engine's stream. progress, if not
+	// nil, is called in order from one goroutine, and an error from it cancels the task. It is not called again for tokens
+	// already reported, because a later attempt resumes from them.
 	Dispatch(ctx context.Context, task Task, progress func(Progress) error) Result
 }
