--- a/internal/dispatch/accounting.go
+++ b/internal/dispatch/accounting.go
@@ -30,7 +30,7 @@
 func (m *Manager) releaseUnused(grant *Grant) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.core.GiveBack(grant)
+	m.core.ReleaseUnused(grant)
 	m.wakeLoop()
 }
 
--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -235,8 +235,8 @@
 	return c.queue.EstimateWait(now, item.Interactive, item.Pool)
 }
 
-// GiveBack releases the slot of a grant without an attempt.
-func (c *Core) GiveBack(grant *Grant) {
+// ReleaseUnused releases the slot of a grant without an attempt.
+func (c *Core) ReleaseUnused(grant *Grant) {
 	grant.state.Breaker.Abandon()
 	c.release(grant)
 }
--- a/internal/dispatch/placement.go
+++ b/internal/dispatch/placement.go
@@ -54,7 +54,7 @@
 		return
 	}
 	if decision := <-placed; decision.Grant != nil {
-		m.core.GiveBack(decision.Grant)
+		m.core.ReleaseUnused(decision.Grant)
 		m.wakeLoop()
 	}
 }
--- a/internal/lab/sim/node.go
+++ b/internal/lab/sim/node.go
@@ -214,7 +214,7 @@
 	n := t.node
 	zones, ok := dispatch.Permitted(n.sim.now, n.view, t.run.Task.Pool, held)
 	if !ok {
-		n.core.GiveBack(held)
+		n.core.ReleaseUnused(held)
 		t.again(0)
 		return
 	}
