--- a/internal/dispatch/accounting.go
+++ b/internal/dispatch/accounting.go
@@ -51,7 +51,7 @@
 func (m *Manager) nextStep(run *Run, aborted *Refusal, result *engine.StreamResult) Step {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return run.Judge(m.core, aborted, result, m.params.Rand())
+	return run.NextStep(m.core, aborted, result, m.params.Rand())
 }
 
 // observeVersion records the weight version of verified tokens as the version of the grant's engine.
--- a/internal/dispatch/run.go
+++ b/internal/dispatch/run.go
@@ -137,9 +137,9 @@
 	r.since = grant.since
 }
 
-// Judge decides what follows an attempt that Take has recorded. aborted is the reason if the task itself ended
+// NextStep decides what follows an attempt that Take has recorded. aborted is the reason if the task itself ended
 // the attempt, else nil. random is uniform in [0, 1).
-func (r *Run) Judge(core *Core, aborted *Refusal, result *engine.StreamResult, random float64) Step {
+func (r *Run) NextStep(core *Core, aborted *Refusal, result *engine.StreamResult, random float64) Step {
 	switch result.Outcome {
 	case v1.OutcomeCompleted:
 		core.creditRetry(r.Task.Caller)
--- a/internal/lab/sim/node.go
+++ b/internal/lab/sim/node.go
@@ -247,7 +247,7 @@
 	t.run.Take(c.grant, result)
 	n.core.Finished(n.sim.now, c.grant, result, ended != nil, n.random.Float64())
 	n.placeSoon()
-	step := t.run.Judge(n.core, ended, result, n.random.Float64())
+	step := t.run.NextStep(n.core, ended, result, n.random.Float64())
 	if step.Result != nil {
 		t.finish(step)
 		return
