--- a/internal/dispatch/execution.go
+++ b/internal/dispatch/execution.go
@@ -62,7 +62,7 @@
 	result := e.manager.params.Engines.Stream(ctx, target, request, func(chunk engine.Chunk) error {
 		return e.chunk(grant, chunk)
 	})
-	e.run.Take(grant, &result)
+	e.run.RecordAttempt(grant, &result)
 	endedLocally := ctx.Err() != nil && !errors.Is(context.Cause(ctx), errEngineRestarted)
 	e.manager.finishAttempt(grant, &result, endedLocally || errors.Is(result.Err, engine.ErrConsumer))
 	e.manager.cancelAttempt(grant, &request, &result)
--- a/internal/dispatch/run.go
+++ b/internal/dispatch/run.go
@@ -125,8 +125,8 @@
 // Reported records the number of tokens of the answer that were passed to the consumer.
 func (r *Run) Reported(tokens int) { r.reported = tokens }
 
-// Take records the verified tokens and segments of an attempt, and its engine.
-func (r *Run) Take(grant *Grant, result *engine.StreamResult) {
+// RecordAttempt records the verified tokens and segments of an attempt, and its engine.
+func (r *Run) RecordAttempt(grant *Grant, result *engine.StreamResult) {
 	r.tokens = result.Tokens
 	r.segments = result.Segments
 	if result.Outcome != v1.OutcomeNotRun || result.Refusal != nil {
