--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -139,8 +139,8 @@
 // View returns the view that placements are based on.
 func (c *Core) View() *cluster.View { return c.snapshot.View }
 
-// Replaced reports whether, according to the view, the grant's engine has restarted since the placement.
-func (c *Core) Replaced(grant *Grant) bool {
+// EngineRestarted reports whether, according to the view, the grant's engine has restarted since the placement.
+func (c *Core) EngineRestarted(grant *Grant) bool {
 	index := c.snapshot.Find(grant.engine.Name)
 	if index < 0 {
 		return false
--- a/internal/dispatch/placement.go
+++ b/internal/dispatch/placement.go
@@ -106,7 +106,7 @@
 		return
 	}
 	for grant, cancel := range m.running {
-		if m.core.Replaced(grant) {
+		if m.core.EngineRestarted(grant) {
 			cancel(errEngineRestarted)
 		}
 	}
--- a/internal/lab/sim/node.go
+++ b/internal/lab/sim/node.go
@@ -281,7 +281,7 @@
 	n.view = view
 	n.core.Refresh(view)
 	for _, t := range n.sortedTasks() {
-		if t.stream != nil && n.core.Replaced(t.stream.grant) {
+		if t.stream != nil && n.core.EngineRestarted(t.stream.grant) {
 			t.stream.abandon(nil)
 		}
 	}
