--- a/internal/dispatch/accounting.go
+++ b/internal/dispatch/accounting.go
@@ -41,7 +41,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.running, grant)
-	if m.core.Finished(m.params.Now(), grant, result, endedLocally, m.params.Rand()) {
+	if m.core.FinishAttempt(m.params.Now(), grant, result, endedLocally, m.params.Rand()) {
 		_ = level.Debug(m.logger).Log("msg", "attempt failed", "engine", grant.engine.Name, "outcome", result.Outcome)
 	}
 	m.wakeLoop()
--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -246,9 +246,9 @@
 	c.inFlight[grant.class]--
 }
 
-// Finished records the result of an attempt, releases its slot and reports whether the engine's breaker counted a
+// FinishAttempt records the result of an attempt, releases its slot and reports whether the engine's breaker counted a
 // failure. endedLocally is set if this node or the caller ended the attempt; random is uniform in [0, 1).
-func (c *Core) Finished(now time.Time, grant *Grant, result *engine.StreamResult, endedLocally bool, random float64) bool {
+func (c *Core) FinishAttempt(now time.Time, grant *Grant, result *engine.StreamResult, endedLocally bool, random float64) bool {
 	c.observeLoad(now, grant, result.Load)
 	engineFailed := false
 	switch {
--- a/internal/dispatch/overload_test.go
+++ b/internal/dispatch/overload_test.go
@@ -62,7 +62,7 @@
 
 func (r *coreHarness) answer(grant *dispatch.Grant, took time.Duration) {
 	r.now = r.now.Add(took)
-	r.core.Finished(r.now, grant, &engine.StreamResult{Outcome: v1.OutcomeCompleted, Tokens: make([]string, 10)}, false, 0)
+	r.core.FinishAttempt(r.now, grant, &engine.StreamResult{Outcome: v1.OutcomeCompleted, Tokens: make([]string, 10)}, false, 0)
 }
 
 // newLoadedCoreHarness returns a coreHarness with an observed service time of two seconds.
@@ -111,7 +111,7 @@
 		r := newCoreHarness()
 		So(r.enqueue(time.Minute), ShouldBeNil)
 		full := &engine.StreamResult{Outcome: v1.OutcomeNotRun, Refusal: &enginev1.Refusal{Reason: enginev1.RefusedFull}}
-		r.core.Finished(r.now, r.place().Grant, full, false, 0.5)
+		r.core.FinishAttempt(r.now, r.place().Grant, full, false, 0.5)
 		So(r.enqueue(time.Minute), ShouldBeNil)
 		So(r.place(), ShouldResemble, dispatch.Placement{})
 		r.now = r.now.Add(25 * time.Millisecond)
--- a/internal/lab/sim/node.go
+++ b/internal/lab/sim/node.go
@@ -245,7 +245,7 @@
 		return
 	}
 	t.run.RecordAttempt(c.grant, result)
-	n.core.Finished(n.sim.now, c.grant, result, ended != nil, n.random.Float64())
+	n.core.FinishAttempt(n.sim.now, c.grant, result, ended != nil, n.random.Float64())
 	n.placeSoon()
 	step := t.run.NextStep(n.core, ended, result, n.random.Float64())
 	if step.Result != nil {
