--- a/internal/dispatch/execution.go
+++ b/internal/dispatch/execution.go
@@ -85,7 +85,7 @@
 		Version: chunk.Version,
 		Engine:  grant.engine.Name,
 	})
-	e.run.Reported(chunk.Index + len(chunk.Tokens))
+	e.run.SetReported(chunk.Index + len(chunk.Tokens))
 	return err
 }
 
--- a/internal/dispatch/run.go
+++ b/internal/dispatch/run.go
@@ -122,8 +122,8 @@
 // ResumeSegments returns the weight versions of the tokens that the next attempt resumes from.
 func (r *Run) ResumeSegments() []v1.Segment { return r.segments }
 
-// Reported records the number of tokens of the answer that were passed to the consumer.
-func (r *Run) Reported(tokens int) { r.reported = tokens }
+// SetReported records the number of tokens of the answer that were passed to the consumer.
+func (r *Run) SetReported(tokens int) { r.reported = tokens }
 
 // RecordAttempt records the verified tokens and segments of an attempt, and its engine.
 func (r *Run) RecordAttempt(grant *Grant, result *engine.StreamResult) {
--- a/internal/lab/sim/node.go
+++ b/internal/lab/sim/node.go
@@ -163,7 +163,7 @@
 	if t.progress == nil {
 		return
 	}
-	t.run.Reported(chunk.Index + len(chunk.Tokens))
+	t.run.SetReported(chunk.Index + len(chunk.Tokens))
 	t.progress(dispatch.Progress{Index: chunk.Index, Tokens: chunk.Tokens, Version: chunk.Version, Engine: from.host.name})
 }
 
