--- a/internal/dispatch/execution.go
+++ b/internal/dispatch/execution.go
@@ -27,7 +27,7 @@
 		if refused != nil {
 			return e.final(e.run.GiveUp(refused))
 		}
-		e.run.Granted()
+		e.run.MarkGranted()
 		next := e.attempt(ctx, grant)
 		if next.Result != nil {
 			return e.final(next)
--- a/internal/dispatch/run.go
+++ b/internal/dispatch/run.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// Granted records that the task has been granted a slot, so that it is queued as readmitted from now on.
-func (r *Run) Granted() { r.admitted = true }
+// MarkGranted records that the task has been granted a slot, so that it is queued as readmitted from now on.
+func (r *Run) MarkGranted() { r.admitted = true }
 
 // Request returns the completion request of the next attempt, addressed to the grant's engine.
 func (r *Run) Request(grant *Grant, pool v1.PoolSpec, zones []string) enginev1.CompletionRequest {
--- a/internal/lab/sim/node.go
+++ b/internal/lab/sim/node.go
@@ -205,7 +205,7 @@
 		t.finish(t.run.GiveUp(decision.Refusal))
 		return
 	}
-	t.run.Granted()
+	t.run.MarkGranted()
 	t.attempt(decision.Grant)
 }
 
