--- a/internal/dispatch/core.go
+++ b/internal/dispatch/core.go
@@ -93,8 +93,8 @@
 	}
 }
 
-// UsePlacer replaces the production placer, for experiments that compare placement policies.
-func (c *Core) UsePlacer(placer Placer) { c.placer = placer }
+// SetPlacer replaces the production placer, for experiments that compare placement policies.
+func (c *Core) SetPlacer(placer Placer) { c.placer = placer }
 
 // Enqueue admits a task to the queue and returns its id, or refuses it.
 func (c *Core) Enqueue(now time.Time, item scheduler.Item, request scheduler.Request, class Class) (uint64, *Refusal) {
--- a/internal/lab/sim/node.go
+++ b/internal/lab/sim/node.go
@@ -65,7 +65,7 @@
 		Requests: n.sim.scenario.System.MaxQueued, Tokens: n.sim.scenario.System.MaxQueuedTokens,
 	})
 	if placer := newPlacer(n.sim.scenario.Policy.Placement); placer != nil {
-		n.core.UsePlacer(placer)
+		n.core.SetPlacer(placer)
 	}
 	n.waiting = make(map[uint64]*task)
 	n.tasks = make(map[uint64]*task)
