--- a/internal/decommission/decommission.go
+++ b/internal/decommission/decommission.go
@@ -1,6 +1,5 @@
-// Package decommission lets operators take coordinator machines away. Such a machine keeps no lasting state, so that it may
-// go as soon as another one coordinates: a machine that is to go gives the lease up, and whoever coordinates reports the
-// request done.
+// Package decommission handles requests to remove coordinator machines. They keep no durable state, so a machine can be removed
+// once another one coordinates: it releases its lease, and the new coordinator reports the request done.
 package decommission
 
 import (
@@ -13,25 +12,24 @@
 	"github.com/go-kit/log/level"
 )
 
-// Request is an operator's wish to take a machine away.
+// Request is an operator's request to remove a machine.
 type Request struct {
 	// Node is the machine's name.
 	Node string
-	// Done is true once it was reported that the machine may go.
+	// Done is true once the machine was reported as safe to remove.
 	Done bool
 }
 
 const (
-	// retryPause is the pause after a report that failed.
-	retryPause = 300 * time.Millisecond
-	// reportTimeout bounds one report.
+	// retryPause is the delay before failed reports are retried.
+	retryPause    = 300 * time.Millisecond
 	reportTimeout = 1500 * time.Millisecond
 )
 
-// Manager knows the requests. It is safe for concurrent use.
+// Manager tracks decommission requests. It is safe for concurrent use.
 type Manager struct {
 	self string
-	// report tells the operator that the machine may go.
+	// report reports to the operator that the machine can be removed.
 	report func(ctx context.Context, request Request) error
 	logger log.Logger
 
@@ -40,12 +38,12 @@
 	changed  chan struct{}
 }
 
-// New returns a Manager of the machine self.
+// New returns the Manager of the machine self.
 func New(self string, report func(ctx context.Context, request Request) error, logger log.Logger) *Manager {
 	return &Manager{self: self, report: report, logger: logger, changed: make(chan struct{}, 1)}
 }
 
-// SetRequests takes in the requests, by node.
+// SetRequests replaces the requests, keyed by node.
 func (m *Manager) SetRequests(requests map[string]Request) {
 	m.mu.Lock()
 	m.requests = maps.Clone(requests)
@@ -56,7 +54,7 @@
 	}
 }
 
-// MayCoordinate reports whether this machine is to stay.
+// MayCoordinate reports whether there is no request to remove this machine.
 func (m *Manager) MayCoordinate() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -64,43 +62,45 @@
 	return !leaving
 }
 
-// Lead reports requests done until ctx ends. The machine that coordinates is never reported: it gives the lease up first.
+// Lead reports requests done until ctx ends. It runs on the coordinator and never reports this machine, which must release
+// its lease first.
 func (m *Manager) Lead(ctx context.Context) {
 	for {
 		failed := false
-		for _, request := range m.open() {
-			failed = !m.complete(ctx, request) || failed
+		for _, request := range m.pendingRequests() {
+			failed = !m.reportDone(ctx, request) || failed
 		}
-		var again <-chan time.Time
+		var retry <-chan time.Time
 		if failed {
-			again = time.After(retryPause)
+			retry = time.After(retryPause)
 		}
 		select {
 		case <-m.changed:
-		case <-again:
+		case <-retry:
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// open returns the requests of other machines that are not done.
-func (m *Manager) open() []Request {
+// pendingRequests returns the requests for other machines that are not done.
+func (m *Manager) pendingRequests() []Request {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	var open []Request
+	var pending []Request
 	for _, request := range m.requests {
 		if !request.Done && request.Node != m.self {
-			open = append(open, request)
+			pending = append(pending, request)
 		}
 	}
-	return open
+	return pending
 }
 
-func (m *Manager) complete(ctx context.Context, request Request) bool {
+// reportDone makes one attempt to report the request done, and returns whether it succeeded.
+func (m *Manager) reportDone(ctx context.Context, request Request) bool {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	err := m.report(ctx, request)
-	level.Info(m.logger).Log("msg", "machine may go", "machine", request.Node, "err", err)
+	level.Info(m.logger).Log("msg", "decommission report sent", "machine", request.Node, "err", err)
 	return err == nil
 }
--- a/internal/decommission/decommission_test.go
+++ b/internal/decommission/decommission_test.go
@@ -32,7 +32,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		var leading sync.WaitGroup
 		leading.Go(func() { manager.Lead(ctx) })
-		Convey("Another machine is reported until that is heard, this one never, and none that is done", t, func() {
+		Convey("Reports for other machines are retried until they succeed; this machine and done requests are not reported", t, func() {
 			So(manager.MayCoordinate(), ShouldBeTrue)
 			manager.SetRequests(map[string]decommission.Request{
 				"other": {Node: "other"},
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -1,8 +1,7 @@
-// Package duty makes the calls to the deployment's platform that fall to one process at a time, such as reports of use and orders of
-// engines.
+// Package duty makes platform calls that only one process at a time may make, such as usage reports and engine orders.
 //
-// Guarantees, those of package permits: a call leaves only within a short time after it was recorded in the store under the term's token,
-// and not before the last call of another process on the same subject is a lease length old.
+// It gives the guarantees of package permits: a call is sent only shortly after it was recorded in the store under the term's
+// token, and only once the last call of another process on the same subject can no longer arrive.
 package duty
 
 import (
@@ -14,49 +13,49 @@
 	"github.com/covelink/covelink/internal/permits"
 )
 
-// Stamp is what a call bears: who makes it, and a token that is higher with each holder.
+// Stamp identifies the caller in each call. Token is the fencing token, which increases with each term.
 type Stamp struct {
 	Holder string
 	Token  int64
 }
 
 var (
-	// ErrWait reports a call that was not made: another process made the last one, less than a lease length ago.
-	ErrWait = errors.New("duty: another process acted lately")
-	// ErrNotSent reports a call of which no byte left.
-	ErrNotSent = errors.New("duty: not sent")
-	// ErrUnanswered reports a call that may have been carried out, or may be later.
-	ErrUnanswered = errors.New("duty: no answer")
-	// ErrNoneAvailable reports an order of engines that are not to be had at present.
-	ErrNoneAvailable = errors.New("duty: none available at present")
+	// ErrHandoverPending reports a call that was not made because another process's call on the subject is too recent.
+	ErrHandoverPending = errors.New("duty: call deferred: another process acted on the subject recently")
+	// ErrNotSent reports a call of which no byte was sent.
+	ErrNotSent = errors.New("duty: call not sent")
+	// ErrUnanswered reports a call without a response. The platform may have executed it, or may still do so.
+	ErrUnanswered = errors.New("duty: no response from platform")
+	// ErrNoneAvailable reports an order for engines that the platform cannot supply at present.
+	ErrNoneAvailable = errors.New("duty: no engines available at present")
 )
 
-// RefusedError reports a call that the platform answered and did not carry out.
+// RefusedError reports a call that the platform rejected without executing it.
 type RefusedError struct{ Status int }
 
 // Error implements error.
 func (e *RefusedError) Error() string { return fmt.Sprintf("duty: refused with status %d", e.Status) }
 
-// Performer makes the calls of one term.
+// Executor makes the calls of one term.
 type Performer struct {
 	Stamp   Stamp
 	Journal *permits.Journal
-	// Observe is told of each call that was made; nil for nobody.
+	// Observe, if not nil, is called after each call that was made.
 	Observe func(subject string, err error, took time.Duration)
 }
 
-// TakeOver ends the calls of earlier terms, as often as it takes, until ctx ends.
+// TakeOver takes the journal over, which stops the calls of earlier terms. It retries until it succeeds or ctx ends.
 func (p *Performer) TakeOver(ctx context.Context) { p.Journal.TakeOver(ctx) }
 
-// Do records a call on a subject and makes it; call must not let it leave after the time it is given. It returns ErrWait if it may not be
-// made yet, the journal's error if it was not recorded, or that of call.
+// Do records a call on a subject and makes it. The function call must not send it after leaveBy. Do returns ErrHandoverPending
+// if the call may not be made yet, the journal's error if it could not be recorded, or the error of call.
 func (p *Performer) Do(ctx context.Context, subject string, call func(ctx context.Context, stamp Stamp, leaveBy time.Time) error) error {
 	allowed, leaveBy, err := p.Journal.Permit(ctx, []string{subject})
 	if err != nil {
 		return err
 	}
 	if len(allowed) == 0 {
-		return ErrWait
+		return ErrHandoverPending
 	}
 	started := time.Now()
 	err = call(ctx, p.Stamp, leaveBy)
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -13,12 +13,12 @@
 	"github.com/covelink/covelink/internal/permits"
 )
 
-func TestPerformer(t *testing.T) {
+func TestExecutor(t *testing.T) {
 	const transit = 800 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
-		Convey("A call is made within its permit, not soon after another's, and not once a later term has taken over", t, func() {
+		Convey("A call needs a valid permit, waits out another process's call, and fails after a takeover by a later term", t, func() {
 			store := metastoretest.New()
-			perform := func(holder string, token int64) *Performer {
+			newExecutor := func(holder string, token int64) *Performer {
 				return &Performer{
 					Stamp: Stamp{Holder: holder, Token: token},
 					Journal: permits.New(permits.Params{
@@ -26,15 +26,15 @@
 					}),
 				}
 			}
-			var made []Stamp
+			var calls []Stamp
 			call := func(p *Performer) error {
 				return p.Do(context.Background(), "subject", func(_ context.Context, stamp Stamp, leaveBy time.Time) error {
 					So(time.Until(leaveBy), ShouldBeBetween, 0, permits.Validity+time.Nanosecond)
-					made = append(made, stamp)
+					calls = append(calls, stamp)
 					return ErrUnanswered
 				})
 			}
-			first, second := perform("node-1", 1), perform("node-2", 2)
+			first, second := newExecutor("node-1", 1), newExecutor("node-2", 2)
 			var observed []error
 			first.Observe = func(_ string, err error, _ time.Duration) { observed = append(observed, err) }
 			So(call(first), ShouldEqual, ErrUnanswered)
@@ -42,10 +42,10 @@
 			second.TakeOver(context.Background())
 			So(call(first), ShouldNotBeNil)
 			So(errors.Is(call(first), permits.ErrSuperseded), ShouldBeTrue)
-			So(call(second), ShouldEqual, ErrWait)
+			So(call(second), ShouldEqual, ErrHandoverPending)
 			time.Sleep(permits.Validity + 2*transit)
 			So(call(second), ShouldEqual, ErrUnanswered)
-			So(made, ShouldResemble, []Stamp{first.Stamp, second.Stamp})
+			So(calls, ShouldResemble, []Stamp{first.Stamp, second.Stamp})
 			So(observed, ShouldHaveLength, 1)
 		})
 	})
--- a/internal/leadership/campaign.go
+++ b/internal/leadership/campaign.go
@@ -11,48 +11,48 @@
 )
 
 const (
-	// activeCandidates is how many nodes, by rank, campaign all the time; the others look now and then whether the lease
-	// is held and step in when it is not.
+	// activeCandidates is the number of top-ranked nodes that campaign continuously. Standby nodes poll the voters and
+	// campaign only while the lease is free.
 	activeCandidates = 3
-	// standInLengths is how many lease lengths a node that stepped in campaigns before it looks again.
-	standInLengths = 2
+	// standbyCampaignLengths is the duration of a standby node's campaign, in lease lengths.
+	standbyCampaignLengths = 2
 )
 
-// contest is this node's campaign for one lease.
-type contest struct {
+// campaign is this node's campaign for one lease.
+type campaign struct {
 	name string
-	// ctx ends with the campaign.
-	ctx  context.Context
-	won  chan *termContext // buffered; receives each term once
-	term *termContext      // guarded by the elector's lock; nil outside a term
-	left chan struct{}     // closed when the campaign has ended
+	// ctx is canceled when the campaign ends.
+	ctx   context.Context
+	terms chan *termContext // buffered; receives each term once
+	term  *termContext      // guarded by LeaseElector.mu; nil outside a term
+	done  chan struct{}     // closed when the campaign has ended
 }
 
-func (c *contest) beginTerm(e *LeaseElector, token lease.Token) {
+func (c *campaign) beginTerm(e *LeaseElector, token lease.Token) {
 	c.term = newTermContext(c.ctx, e.now, Term{Name: c.name, Token: uint64(token)})
-	c.won <- c.term
+	c.terms <- c.term
 }
 
-func (c *contest) endTerm() {
+func (c *campaign) endTerm() {
 	if c.term != nil {
 		c.term.cancel()
 		c.term = nil
 	}
 }
 
-// Campaign implements Elector. When ctx ends, or lead returns by itself, the lease is released at once; in the latter case
-// this node leaves the lease to others for a lease length. The context of lead ends early enough that it has about a
-// twentieth of the lease length to take notice before another node can hold the lease.
+// Campaign implements Elector. It releases the lease at once when ctx ends or lead returns; if lead returns during its term,
+// this node does not campaign for a lease length. The context of lead ends about a twentieth of the lease length before
+// another node can hold the lease.
 func (e *LeaseElector) Campaign(ctx context.Context, name string, zones []string, lead func(ctx context.Context, term Term)) {
-	g, c := e.join(ctx, name, zones)
+	g, c := e.startCampaign(ctx, name, zones)
 	if g == nil {
-		level.Error(e.logger).Log("msg", "no seeds can vote", "lease", name)
+		level.Error(e.logger).Log("msg", "cannot campaign for lease: no voters in its zones, or too many zone sets", "lease", name)
 		<-ctx.Done()
 		return
 	}
-	defer e.leave(g, c)
+	defer e.endCampaign(g, c)
 	for ctx.Err() == nil {
-		term := e.contend(ctx, g, c)
+		term := e.awaitTerm(ctx, g, c)
 		if term == nil {
 			continue
 		}
@@ -60,13 +60,14 @@
 			lead(term, term.term)
 		}
 		if e.resign(g, c, term) {
-			pause(ctx, e.params.Timing.LeaseLength)
+			sleep(ctx, e.params.Timing.LeaseLength)
 		}
 	}
 }
 
-// join enters the contest after an earlier campaign of this node for the name has ended.
-func (e *LeaseElector) join(ctx context.Context, name string, zones []string) (*group, *contest) {
+// startCampaign registers a campaign once any earlier campaign of this node for the name has ended. It returns nil if the
+// zones have no group.
+func (e *LeaseElector) startCampaign(ctx context.Context, name string, zones []string) (*group, *campaign) {
 	for {
 		e.mu.Lock()
 		g := e.group(zones)
@@ -74,36 +75,36 @@
 			e.mu.Unlock()
 			return nil, nil
 		}
-		earlier, ok := g.contests[name]
+		earlier, ok := g.campaigns[name]
 		if !ok {
-			c := &contest{name: name, ctx: ctx, won: make(chan *termContext, 1), left: make(chan struct{})}
-			g.contests[name] = c
+			c := &campaign{name: name, ctx: ctx, terms: make(chan *termContext, 1), done: make(chan struct{})}
+			g.campaigns[name] = c
 			e.mu.Unlock()
 			return g, c
 		}
 		e.mu.Unlock()
-		<-earlier.left
+		<-earlier.done
 	}
 }
 
-func (e *LeaseElector) leave(g *group, c *contest) {
+func (e *LeaseElector) endCampaign(g *group, c *campaign) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	delete(g.contests, c.name)
-	close(c.left)
+	delete(g.campaigns, c.name)
+	close(c.done)
 }
 
-// contend takes part in the election until this node wins, or returns nil.
-func (e *LeaseElector) contend(ctx context.Context, g *group, c *contest) *termContext {
+// awaitTerm campaigns until this node wins. It returns nil if ctx ends, the lease is held, or a standby campaign times out.
+func (e *LeaseElector) awaitTerm(ctx context.Context, g *group, c *campaign) *termContext {
 	rank, _ := e.rank(c.name, g.zones)
-	contending, cancel := context.WithCancel(ctx)
+	campaignCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	if rank >= activeCandidates {
-		pause(ctx, time.Duration(rank-activeCandidates+1)*e.params.Timing.LeaseLength)
-		if ctx.Err() != nil || !e.vacant(ctx, g, c.name) {
+		sleep(ctx, time.Duration(rank-activeCandidates+1)*e.params.Timing.LeaseLength)
+		if ctx.Err() != nil || !e.leaseFree(ctx, g, c.name) {
 			return nil
 		}
-		contending, cancel = context.WithTimeout(ctx, standInLengths*e.params.Timing.LeaseLength)
+		campaignCtx, cancel = context.WithTimeout(ctx, standbyCampaignLengths*e.params.Timing.LeaseLength)
 		defer cancel()
 	}
 	e.mu.Lock()
@@ -111,21 +112,21 @@
 	e.mu.Unlock()
 	e.wakeUp()
 	select {
-	case term := <-c.won:
+	case term := <-c.terms:
 		return term
-	case <-contending.Done():
+	case <-campaignCtx.Done():
 	}
 	e.withdraw(g, c, "")
 	select {
-	case term := <-c.won: // won at the same moment; the term has been given up
+	case term := <-c.terms: // won concurrently; withdraw has released it
 		term.cancel()
 	default:
 	}
 	return nil
 }
 
-// resign ends a term after lead has returned. It reports whether the term had not been lost.
-func (e *LeaseElector) resign(g *group, c *contest, term *termContext) bool {
+// resign ends a term after lead has returned. It reports whether the term was still held.
+func (e *LeaseElector) resign(g *group, c *campaign, term *termContext) bool {
 	_, successor := e.rank(c.name, g.zones)
 	kept := term.Context.Err() == nil
 	e.withdraw(g, c, successor)
@@ -133,22 +134,22 @@
 	return kept
 }
 
-// withdraw releases what this node has of the lease and waits, for half a lease length at most, until the voters know.
-func (e *LeaseElector) withdraw(g *group, c *contest, successor string) {
-	var told sync.WaitGroup
+// withdraw releases the lease and waits for the voters to reply, for at most half a lease length.
+func (e *LeaseElector) withdraw(g *group, c *campaign, successor string) {
+	var sends sync.WaitGroup
 	e.mu.Lock()
 	c.endTerm()
 	messages := g.candidate.Withdraw(c.name, successor)
-	for _, message := range e.settle(g, e.now(), messages) {
-		told.Add(1)
-		e.send(g, message, told.Done)
+	for _, message := range e.applyLocal(g, e.now(), messages) {
+		sends.Add(1)
+		e.send(g, message, sends.Done)
 	}
 	e.mu.Unlock()
-	told.Wait()
+	sends.Wait()
 }
 
-// pause waits for the duration or the end of ctx.
-func pause(ctx context.Context, duration time.Duration) {
+// sleep returns after the duration or when ctx ends.
+func sleep(ctx context.Context, duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
--- a/internal/leadership/elector.go
+++ b/internal/leadership/elector.go
@@ -18,26 +18,26 @@
 	"github.com/covelink/covelink/internal/telemetry"
 )
 
-// Params are what a LeaseElector is made of.
+// Params configures a LeaseElector.
 type Params struct {
 	Self cluster.Node
-	// Seeds are the nodes of the settings. The voters of a lease are the seeds of its zones, so all nodes must be set up
-	// with the same seeds of these zones; voters refuse candidates that know other ones.
+	// Seeds are the configured nodes. The voters of a lease are the seeds of its zones, so all nodes must be configured with
+	// the same seeds for these zones; voters refuse candidates with a different voter set.
 	Seeds []cluster.Node
 	// Nodes returns the live nodes, among which candidates are ranked; nil means the seeds.
 	Nodes func() []cluster.Node
-	// Electorate returns the zones of a lease that this node has no part in, for Holder.
+	// Electorate returns the zones of a lease. Holder needs it for leases that this node does not campaign for.
 	Electorate Electorate
 	Client     *rpc.Client
 	Timing     settings.Timing
 	Logger     log.Logger
 	Registerer prometheus.Registerer
-	// Now defaults to boottime.Now, Rand to a randomly seeded source. Tests replace them.
+	// Now defaults to boottime.Now, Rand to a randomly seeded source.
 	Now  func() time.Time
 	Rand *rand.Rand
 }
 
-// LeaseElector is an Elector over majority leases: any number of leases, one voter set for each set of zones.
+// LeaseElector is an Elector based on majority leases. All leases of one set of zones share a voter set.
 type LeaseElector struct {
 	params      Params
 	logger      log.Logger
@@ -45,7 +45,7 @@
 	started     time.Time
 	incarnation uint64
 	wake        chan struct{}
-	sends       sync.WaitGroup // grows only while not closed
+	sends       sync.WaitGroup // incremented only while not closed
 
 	mu       sync.Mutex
 	closed   bool
@@ -53,8 +53,8 @@
 	peers    map[string]cluster.Node
 	inFlight map[string]int
 	hints    map[string]*hint
-	// introductions are what other nodes' messages have in common.
-	introductions introductions
+	// headers caches the message headers received from other nodes.
+	headers headerCache
 }
 
 var (
@@ -62,7 +62,7 @@
 	_ Witness = (*LeaseElector)(nil)
 )
 
-// New returns an elector that votes once Register's server serves and campaigns while Run runs.
+// New returns an elector. It votes while the server passed to Register is serving, and campaigns while Run is running.
 func New(params Params) *LeaseElector {
 	if params.Now == nil {
 		params.Now = boottime.Now
@@ -82,7 +82,7 @@
 		inFlight:    make(map[string]int),
 		hints:       make(map[string]*hint),
 
-		introductions: make(introductions),
+		headers: make(headerCache),
 	}
 	for _, seed := range params.Seeds {
 		e.peers[seed.Name] = seed
@@ -91,13 +91,13 @@
 	return e
 }
 
-// Register makes the server answer the electors of other nodes. It must be called before the server serves.
+// Register registers the handler for messages of other electors. It must be called before the server starts serving.
 func (e *LeaseElector) Register(server *rpc.Server) {
 	rpc.Handle(server, e.exchange)
 }
 
-// Run renews leases and ends terms that lapse until ctx ends; then every term still led ends, and no message is sent any
-// more. It should outlast the campaigns, so that they can release their leases.
+// Run renews leases and ends lapsed terms until ctx ends. It then ends the remaining terms and stops sending messages.
+// Callers should end all campaigns before ctx, so that their leases are released.
 func (e *LeaseElector) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		timer := time.NewTimer(e.tick())
@@ -112,7 +112,7 @@
 	return ctx.Err()
 }
 
-// tick does what is due and returns how long nothing will be.
+// tick performs the due actions of all candidates and returns the time until the next one.
 func (e *LeaseElector) tick() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -138,7 +138,7 @@
 	e.mu.Lock()
 	e.closed = true
 	for _, g := range e.groups {
-		for _, c := range g.contests {
+		for _, c := range g.campaigns {
 			c.endTerm()
 		}
 	}
@@ -146,26 +146,26 @@
 	e.sends.Wait()
 }
 
-// now reads both clocks.
+// now returns the current time by the monotonic and the wall clock.
 func (e *LeaseElector) now() lease.Instant {
 	now := e.params.Now()
 	return lease.Instant{Monotonic: now.Sub(e.started), Wall: boottime.Wall(now)}
 }
 
-// ObserveToken tells that a guard has seen the token for the name. A term of this node below it ends, and the next one is
-// above it.
+// ObserveToken reports a fencing token that a guard has seen for the name. A term of this node with a lower token ends, and
+// the next term gets a higher one.
 func (e *LeaseElector) ObserveToken(name string, seen uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.now()
 	for _, g := range e.groups {
-		if _, ok := g.contests[name]; ok {
+		if _, ok := g.campaigns[name]; ok {
 			e.deliver(g, now, g.candidate.ObserveToken(name, lease.Token(seen)))
 		}
 	}
 }
 
-// config is this node's part in a group.
+// config returns the lease configuration of this node.
 func (e *LeaseElector) config() lease.Config {
 	return lease.Config{
 		Name:        e.params.Self.Name,
@@ -175,7 +175,7 @@
 	}
 }
 
-// mustBeValid panics on an error that only a broken invariant can cause: settings are checked before they come here.
+// mustBeValid panics on an error. Settings are validated earlier, so an error here is a bug.
 func mustBeValid(err error) {
 	if err != nil {
 		panic(fmt.Sprintf("leadership: %s", err))
--- a/internal/leadership/elector_test.go
+++ b/internal/leadership/elector_test.go
@@ -18,26 +18,26 @@
 )
 
 const (
-	testLength = 400 * time.Millisecond
-	patience   = 20 * time.Second
-	// outsider is a node of another zone, which votes with a pair and does not campaign.
+	testLength  = 400 * time.Millisecond
+	pollTimeout = 20 * time.Second
+	// outsider is a witness from another zone: it votes with a pair of seeds and does not campaign.
 	outsider = "w"
 )
 
 // member is one node that campaigns for one lease.
 type member struct {
-	elector  *LeaseElector
-	client   *rpc.Client
-	server   *rpc.Server
-	listener net.Listener
-	stop     context.CancelFunc // ends the campaign as planned
-	halt     context.CancelFunc // ends the elector
-	campaign sync.WaitGroup
-	tasks    sync.WaitGroup
+	elector        *LeaseElector
+	client         *rpc.Client
+	server         *rpc.Server
+	listener       net.Listener
+	cancelCampaign context.CancelFunc // cancels the campaign
+	cancelRun      context.CancelFunc // cancels the elector's Run
+	campaign       sync.WaitGroup
+	tasks          sync.WaitGroup
 }
 
-// electorate is several members and who leads among them.
-type electorateOfMembers struct {
+// testCluster runs several members, and records the leader and whether two terms overlapped.
+type testCluster struct {
 	mu      sync.Mutex
 	leader  string
 	token   uint64
@@ -45,8 +45,8 @@
 	members map[string]*member
 }
 
-func newElectorate(names ...string) *electorateOfMembers {
-	e := &electorateOfMembers{members: make(map[string]*member)}
+func newTestCluster(names ...string) *testCluster {
+	e := &testCluster{members: make(map[string]*member)}
 	var nodes []cluster.Node
 	for _, name := range names {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -64,7 +64,7 @@
 	return e
 }
 
-func (e *electorateOfMembers) start(m *member, self cluster.Node, nodes []cluster.Node) {
+func (e *testCluster) start(m *member, self cluster.Node, nodes []cluster.Node) {
 	m.client = rpc.NewClient(rpc.Peer{Name: self.Name, Zone: self.Zone}, nil)
 	m.server = rpc.NewServer(log.NewNopLogger())
 	m.elector = New(Params{
@@ -74,8 +74,8 @@
 	})
 	m.elector.Register(m.server)
 	var runCtx, campaignCtx context.Context
-	runCtx, m.halt = context.WithCancel(context.Background())
-	campaignCtx, m.stop = context.WithCancel(context.Background())
+	runCtx, m.cancelRun = context.WithCancel(context.Background())
+	campaignCtx, m.cancelCampaign = context.WithCancel(context.Background())
 	m.tasks.Go(func() { _ = m.server.Serve(m.listener) })
 	m.tasks.Go(func() { _ = m.elector.Run(runCtx) })
 	if self.Name == outsider {
@@ -84,7 +84,7 @@
 	m.campaign.Go(func() { m.elector.Campaign(campaignCtx, "zone/z", []string{"z"}, e.lead(self.Name)) })
 }
 
-func (e *electorateOfMembers) lead(name string) func(context.Context, Term) {
+func (e *testCluster) lead(name string) func(context.Context, Term) {
 	return func(ctx context.Context, term Term) {
 		e.mu.Lock()
 		e.overlap = e.overlap || e.leader != "" || term.Token <= e.token
@@ -97,36 +97,36 @@
 	}
 }
 
-func (e *electorateOfMembers) current() (string, uint64) {
+func (e *testCluster) current() (string, uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.leader, e.token
 }
 
-// cut makes the member silent, as if its machine were unplugged.
-func (m *member) cut() {
+// disconnect closes the member's connections, as if its machine had lost power.
+func (m *member) disconnect() {
 	m.listener.Close()
 	m.server.Close()
 	m.client.Close()
 }
 
-func (e *electorateOfMembers) close() {
+func (e *testCluster) close() {
 	for _, m := range e.members {
-		m.stop()
+		m.cancelCampaign()
 	}
 	for _, m := range e.members {
 		m.campaign.Wait()
 	}
 	for _, m := range e.members {
-		m.halt()
-		m.cut()
+		m.cancelRun()
+		m.disconnect()
 		m.tasks.Wait()
 	}
 }
 
 // eventually polls until the condition holds.
 func eventually(condition func() bool) {
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(pollTimeout)
 	for !condition() && time.Now().Before(deadline) {
 		time.Sleep(time.Millisecond)
 	}
@@ -137,13 +137,13 @@
 	defer goleak.VerifyNone(t)
 	for _, names := range [][]string{{"a"}, {"a", "b", "c"}, {"a", "b", outsider}} {
 		Convey(fmt.Sprintf("Among the nodes %v", names), t, func() {
-			e := newElectorate(names...)
+			e := newTestCluster(names...)
 			Reset(e.close)
 			var first string
 			var token uint64
 			eventually(func() bool { first, token = e.current(); return first != "" })
 
-			Convey("every node learns of the one that leads", func() {
+			Convey("every node resolves the holder", func() {
 				for _, m := range e.members {
 					eventually(func() bool {
 						holder, ok := m.elector.Holder("zone/z")
@@ -153,14 +153,14 @@
 				}
 				So(e.overlap, ShouldBeFalse)
 			})
-			Convey("a guard's higher token ends the term, and the next one is above it", func() {
+			Convey("a higher token seen by a guard ends the term, and the next term gets a higher one", func() {
 				seen := token + 1<<40
 				eventually(func() bool {
 					leader, next := e.current()
 					if leader == "" || next > seen {
 						return next > seen
 					}
-					// The lease may have moved since: on a busy machine a term lapses, and only who leads ends its term.
+					// The lease may have moved, and ObserveToken affects only the current holder.
 					e.members[leader].elector.ObserveToken("zone/z", seen)
 					return false
 				})
@@ -169,13 +169,13 @@
 			if len(names) == 1 {
 				return
 			}
-			Convey("a planned stop hands over under a higher token", func() {
-				e.members[first].stop()
+			Convey("a canceled campaign hands the lease over under a higher token", func() {
+				e.members[first].cancelCampaign()
 				eventually(func() bool { leader, next := e.current(); return leader != "" && next > token })
 				So(e.overlap, ShouldBeFalse)
 			})
-			Convey("a node that is cut off stops leading before another one leads", func() {
-				e.members[first].cut()
+			Convey("a disconnected holder stops leading before another node leads", func() {
+				e.members[first].disconnect()
 				eventually(func() bool { leader, next := e.current(); return leader != "" && next > token })
 				leader, _ := e.current()
 				So(leader, ShouldNotBeIn, first, outsider)
@@ -186,7 +186,7 @@
 }
 
 func TestTermContext(t *testing.T) {
-	Convey("The context of a term that has lapsed says so at the first look after a pause", t, func() {
+	Convey("Err of a lapsed term's context returns Canceled even if no timer has fired", t, func() {
 		m := New(Params{Self: cluster.Node{Name: "a", Zone: "z"}, Seeds: []cluster.Node{{Name: "a", Zone: "z"}},
 			Logger: log.NewNopLogger(), Timing: settings.Timing{LeaseLength: testLength}})
 		ctx := newTermContext(context.Background(), m.now, Term{Name: "x", Token: 1})
--- a/internal/leadership/group.go
+++ b/internal/leadership/group.go
@@ -12,25 +12,26 @@
 )
 
 const (
-	// maxGroups bounds the sets of zones that other nodes may make this node remember.
+	// maxGroups bounds the groups, which other nodes create by naming zones.
 	maxGroups = 1024
 )
 
-// group is this node's part in the leases of one set of zones.
+// group holds the voter, candidate and campaigns of this node for the leases of one set of zones.
 type group struct {
 	key       string
 	zones     []string
 	voter     *lease.Voter
 	candidate *lease.Candidate
-	contests  map[string]*contest
+	campaigns map[string]*campaign
 }
 
-// group returns the group of the zones, or nil when no seed can vote in it.
+// group returns the group of the zones, creating it if needed. It returns nil if the zones have no voters or maxGroups is
+// reached. The lock is held.
 func (e *LeaseElector) group(zones []string) *group {
-	zones = e.normalZones(zones)
+	zones = e.normalizeZones(zones)
 	key := strings.Join(zones, ",")
-	if known, ok := e.groups[key]; ok {
-		return known
+	if existing, ok := e.groups[key]; ok {
+		return existing
 	}
 	set := FirstVoters(e.params.Seeds, zones)
 	if len(set.Members) == 0 || len(e.groups) >= maxGroups {
@@ -41,13 +42,13 @@
 	mustBeValid(err)
 	candidate, err := lease.NewCandidate(e.config(), set)
 	mustBeValid(err)
-	known := &group{key: key, zones: zones, voter: voter, candidate: candidate, contests: make(map[string]*contest)}
-	e.groups[key] = known
-	return known
+	created := &group{key: key, zones: zones, voter: voter, candidate: candidate, campaigns: make(map[string]*campaign)}
+	e.groups[key] = created
+	return created
 }
 
-// normalZones returns the zones sorted, each once; none means every zone of the seeds.
-func (e *LeaseElector) normalZones(zones []string) []string {
+// normalizeZones sorts and deduplicates the zones. An empty list means the zones of all seeds.
+func (e *LeaseElector) normalizeZones(zones []string) []string {
 	zones = slices.Clone(zones)
 	if len(zones) == 0 {
 		for _, seed := range e.params.Seeds {
@@ -58,7 +59,7 @@
 	return slices.Compact(zones)
 }
 
-// rank returns this node's rank among the candidates of the name, and the node that ranks next to it.
+// rank returns this node's rank among the candidates for the name, and the highest-ranked other candidate.
 func (e *LeaseElector) rank(name string, zones []string) (rank int, next string) {
 	nodes := e.candidates(zones)
 	members := make([]rendezvous.Member, len(nodes))
@@ -76,7 +77,7 @@
 	return rank, next
 }
 
-// candidates returns the names of the nodes of the zones, this one included.
+// candidates returns the names of the nodes in the zones, and always this node.
 func (e *LeaseElector) candidates(zones []string) []string {
 	nodes := e.params.Seeds
 	if e.params.Nodes != nil {
@@ -91,15 +92,16 @@
 	return names
 }
 
-// deliver takes messages to this node in at once, with what they lead to, and sends the others. The lock is held.
+// deliver applies messages addressed to this node, and sends the others and the replies. The lock is held.
 func (e *LeaseElector) deliver(g *group, now lease.Instant, messages []lease.Message) {
-	for _, message := range e.settle(g, now, messages) {
+	for _, message := range e.applyLocal(g, now, messages) {
 		e.send(g, message, nil)
 	}
 }
 
-// settle takes messages to this node in and returns those to others. The lock is held.
-func (e *LeaseElector) settle(g *group, now lease.Instant, messages []lease.Message) []lease.Message {
+// applyLocal applies messages addressed to this node, including those they produce, and returns the messages to other nodes.
+// The lock is held.
+func (e *LeaseElector) applyLocal(g *group, now lease.Instant, messages []lease.Message) []lease.Message {
 	var remote []lease.Message
 	for len(messages) > 0 {
 		message := messages[0]
@@ -108,18 +110,18 @@
 			remote = append(remote, message)
 			continue
 		}
-		e.note(g, now, message)
+		e.applySightings(g, now, message)
 		messages = append(messages, g.voter.Step(now, message)...)
 		messages = append(messages, g.candidate.Step(now, message)...)
 	}
-	e.takeEvents(g)
+	e.handleEvents(g)
 	return remote
 }
 
-// takeEvents begins and ends terms. The lock is held.
-func (e *LeaseElector) takeEvents(g *group) {
+// handleEvents begins and ends terms and updates their deadlines. The lock is held.
+func (e *LeaseElector) handleEvents(g *group) {
 	for _, event := range g.candidate.Events() {
-		c, ok := g.contests[event.Name]
+		c, ok := g.campaigns[event.Name]
 		if !ok {
 			continue
 		}
@@ -133,15 +135,15 @@
 			c.endTerm()
 		}
 	}
-	for name, c := range g.contests {
+	for name, c := range g.campaigns {
 		if deadline, ok := g.candidate.Deadline(name); ok && c.term != nil {
 			c.term.deadline.Store(&deadline)
 		}
 	}
 }
 
-// lookUp returns a node by name.
-func (e *LeaseElector) lookUp(name string) (cluster.Node, bool) {
+// lookupNode returns the node with the name. The lock is held.
+func (e *LeaseElector) lookupNode(name string) (cluster.Node, bool) {
 	node, ok := e.peers[name]
 	return node, ok
 }
--- a/internal/leadership/hint.go
+++ b/internal/leadership/hint.go
@@ -11,27 +11,28 @@
 )
 
 const (
-	// queriesPerLength bounds how often the voters are asked for the holder of one name.
+	// queriesPerLength bounds the queries for one name per lease length.
 	queriesPerLength = 8
-	// maxHints bounds the names remembered.
+	// maxHints bounds the cached hints.
 	maxHints = 8192
 )
 
-// hint is the holder of a name as last heard.
+// hint is the cached holder of a lease. It may be stale.
 type hint struct {
 	holder string
 	token  lease.Token
-	// until is the end of the grant heard of; asked is when voters were last asked.
-	until time.Duration
-	asked time.Duration
-	never bool // no voter was asked yet
-	// heardOf is true from a sighting until the first voter is asked after it; next is the voter to ask then.
-	heardOf bool
-	next    int
+	// expires is the expiry of the last reported grant; asked is the time of the last query.
+	expires      time.Duration
+	lastQuery    time.Duration
+	neverQueried bool // no voter was queried yet
+	// singleQuery is set by a sighting, and makes the next query go to a single voter; lastVoter is the index of the
+	// last such voter.
+	singleQuery bool
+	lastVoter   int
 }
 
-// Holder implements Elector. It does not wait: a name heard of for the first time may be unknown until the voters, which
-// are asked in the background, have answered.
+// Holder implements Elector. It does not block: it queries the voters in the background, and reports no holder for a new
+// name until they reply.
 func (e *LeaseElector) Holder(name string) (cluster.Node, bool) {
 	var zones []string
 	if e.params.Electorate != nil {
@@ -39,7 +40,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	g := e.groupOf(name, zones)
+	g := e.findGroup(name, zones)
 	if g == nil {
 		return cluster.Node{}, false
 	}
@@ -47,27 +48,27 @@
 	if _, ok := g.candidate.Held(now, name); ok {
 		return e.params.Self, true
 	}
-	known := e.hint(name)
+	cached := e.hint(name)
 	if sighting := g.voter.Sighting(now, name); sighting.Holder != "" {
-		e.sighted(now, sighting)
+		e.applySighting(now, sighting)
 	}
 	length := e.params.Timing.LeaseLength
-	if known.until <= now.Monotonic {
-		e.query(g, now, name, known)
+	if cached.expires <= now.Monotonic {
+		e.query(g, now, name, cached)
 	}
-	if known.holder == "" || known.holder == e.params.Self.Name || now.Monotonic > known.until+length {
+	if cached.holder == "" || cached.holder == e.params.Self.Name || now.Monotonic > cached.expires+length {
 		return cluster.Node{}, false
 	}
-	return e.lookUp(known.holder)
+	return e.lookupNode(cached.holder)
 }
 
-// groupOf returns the group in which this node campaigns for the name, else that of the zones, which may be unknown.
-func (e *LeaseElector) groupOf(name string, zones []string) *group {
+// findGroup returns the group of the zones or, without zones, the group in which this node campaigns for the name, if any.
+func (e *LeaseElector) findGroup(name string, zones []string) *group {
 	if len(zones) > 0 {
 		return e.group(zones)
 	}
 	for _, g := range e.groups {
-		if _, ok := g.contests[name]; ok {
+		if _, ok := g.campaigns[name]; ok {
 			return g
 		}
 	}
@@ -75,52 +76,52 @@
 }
 
 func (e *LeaseElector) hint(name string) *hint {
-	known, ok := e.hints[name]
+	cached, ok := e.hints[name]
 	if !ok {
 		if len(e.hints) >= maxHints {
 			clear(e.hints)
 		}
-		known = &hint{never: true, next: e.params.Rand.IntN(maxVoters)}
-		e.hints[name] = known
+		cached = &hint{neverQueried: true, lastVoter: e.params.Rand.IntN(maxVoters)}
+		e.hints[name] = cached
 	}
-	return known
+	return cached
 }
 
-// Confirm implements Witness: the holder heard of under the token is believed in for another lease length.
+// Confirm implements HolderObserver. It extends the hint by a lease length if the token matches.
 func (e *LeaseElector) Confirm(name string, token uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if known := e.hint(name); known.holder != "" && known.token == lease.Token(token) {
-		known.until = max(known.until, e.now().Monotonic+e.params.Timing.LeaseLength)
-		known.heardOf = true
+	if cached := e.hint(name); cached.holder != "" && cached.token == lease.Token(token) {
+		cached.expires = max(cached.expires, e.now().Monotonic+e.params.Timing.LeaseLength)
+		cached.singleQuery = true
 	}
 }
 
-// Doubt implements Witness: the next look for the holder asks the voters.
+// Invalidate implements HolderObserver. The next call of Holder queries the voters.
 func (e *LeaseElector) Doubt(name string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	known := e.hint(name)
-	known.until = min(known.until, e.now().Monotonic)
+	cached := e.hint(name)
+	cached.expires = min(cached.expires, e.now().Monotonic)
 }
 
-// query asks for the holder after the grant heard of has ended: one voter at first, each in turn, then, when that one has told
-// of no grant that goes on, all of them, unless they were asked a moment ago. The lock is held.
-func (e *LeaseElector) query(g *group, now lease.Instant, name string, known *hint) {
-	if !known.never && now.Monotonic-known.asked < e.params.Timing.LeaseLength/queriesPerLength {
+// query queries the voters for the holder after the reported grant has expired: first a single voter, round robin, and all
+// voters if that one reports no current grant. Queries are rate limited by queriesPerLength. The lock is held.
+func (e *LeaseElector) query(g *group, now lease.Instant, name string, cached *hint) {
+	if !cached.neverQueried && now.Monotonic-cached.lastQuery < e.params.Timing.LeaseLength/queriesPerLength {
 		return
 	}
 	voters := g.candidate.Set().Members
-	if known.heardOf {
-		known.next = (known.next + 1) % len(voters)
-		if voters[known.next] == e.params.Self.Name { // whose vote is known
-			known.next = (known.next + 1) % len(voters)
+	if cached.singleQuery {
+		cached.lastVoter = (cached.lastVoter + 1) % len(voters)
+		if voters[cached.lastVoter] == e.params.Self.Name { // Holder has read the local voter
+			cached.lastVoter = (cached.lastVoter + 1) % len(voters)
 		}
-		voters = voters[known.next : known.next+1]
+		voters = voters[cached.lastVoter : cached.lastVoter+1]
 	}
-	known.never = false
-	known.heardOf = false
-	known.asked = now.Monotonic
+	cached.neverQueried = false
+	cached.singleQuery = false
+	cached.lastQuery = now.Monotonic
 	for _, voter := range voters {
 		if voter != e.params.Self.Name {
 			e.send(g, e.queryMessage(g, voter, name), nil)
@@ -138,56 +139,57 @@
 	}
 }
 
-// note takes the holders in that a message tells of. The lock is held.
-func (e *LeaseElector) note(_ *group, now lease.Instant, message lease.Message) {
+// applySightings updates the hints from the holders reported in a message. The lock is held.
+func (e *LeaseElector) applySightings(_ *group, now lease.Instant, message lease.Message) {
 	for _, sighting := range message.Sightings {
-		e.sighted(now, sighting)
+		e.applySighting(now, sighting)
 	}
 	for _, answer := range message.Answers {
 		if answer.Verdict == lease.RefusedHeld {
-			e.sighted(now, lease.Sighting{
+			e.applySighting(now, lease.Sighting{
 				Name: answer.Name, Holder: answer.Holder, Token: answer.HolderToken, Remaining: answer.Remaining,
 			})
 		}
 	}
 }
 
-// sighted keeps the sighting of the highest token, until its grant has ended: it may have been of an attempt that failed.
-func (e *LeaseElector) sighted(now lease.Instant, sighting lease.Sighting) {
-	known := e.hint(sighting.Name)
-	outdated := sighting.Token < known.token && now.Monotonic < known.until
+// applySighting updates the hint unless it has a higher token and has not expired. An expired hint is replaced whatever its
+// token, as its grant may belong to a failed attempt. The lock is held.
+func (e *LeaseElector) applySighting(now lease.Instant, sighting lease.Sighting) {
+	cached := e.hint(sighting.Name)
+	outdated := sighting.Token < cached.token && now.Monotonic < cached.expires
 	if sighting.Holder == "" || outdated {
 		return
 	}
-	if sighting.Token != known.token {
-		known.until = 0
+	if sighting.Token != cached.token {
+		cached.expires = 0
 	}
-	known.holder = sighting.Holder
-	known.token = sighting.Token
-	known.until = max(known.until, now.Monotonic+sighting.Remaining)
-	known.heardOf = known.until > now.Monotonic
+	cached.holder = sighting.Holder
+	cached.token = sighting.Token
+	cached.expires = max(cached.expires, now.Monotonic+sighting.Remaining)
+	cached.singleQuery = cached.expires > now.Monotonic
 }
 
-// vacant asks all voters whether the lease is held. It is vacant when a majority knows of no holder.
-func (e *LeaseElector) vacant(ctx context.Context, g *group, name string) bool {
+// leaseFree queries all voters and reports whether a majority of them has granted the lease to no one.
+func (e *LeaseElector) leaseFree(ctx context.Context, g *group, name string) bool {
 	e.mu.Lock()
 	set := g.candidate.Set()
 	e.mu.Unlock()
-	var asked sync.WaitGroup
+	var queries sync.WaitGroup
 	free := make([]bool, len(set.Members))
 	for index, voter := range set.Members {
-		asked.Go(func() { free[index] = e.knowsNoHolder(ctx, g, voter, name) })
+		queries.Go(func() { free[index] = e.voterReportsFree(ctx, g, voter, name) })
 	}
-	asked.Wait()
-	count := len(slices.DeleteFunc(free, func(known bool) bool { return !known }))
+	queries.Wait()
+	count := len(slices.DeleteFunc(free, func(isFree bool) bool { return !isFree }))
 	return count >= set.Majority()
 }
 
-// knowsNoHolder asks one voter.
-func (e *LeaseElector) knowsNoHolder(ctx context.Context, g *group, voter, name string) bool {
+// voterReportsFree queries one voter. It returns false if the voter does not reply.
+func (e *LeaseElector) voterReportsFree(ctx context.Context, g *group, voter, name string) bool {
 	e.mu.Lock()
 	message := e.queryMessage(g, voter, name)
-	node, known := e.lookUp(voter)
+	node, known := e.lookupNode(voter)
 	local := g.voter.Sighting(e.now(), name)
 	e.mu.Unlock()
 	if voter == e.params.Self.Name {
--- a/internal/leadership/leadership.go
+++ b/internal/leadership/leadership.go
@@ -1,4 +1,4 @@
-// Package leadership tells which node holds a named lease and runs work while this node holds it.
+// Package leadership elects holders of named leases, resolves the current holder, and runs work while this node holds a lease.
 package leadership
 
 import (
@@ -20,20 +20,19 @@
 	Token uint64
 }
 
-// Elector is a node's part in the leases.
+// Elector campaigns for leases and resolves their holders.
 type Elector interface {
-	// Holder returns the node believed to hold the lease. It is a hint: the node asked must check its own term.
+	// Holder returns the node that probably holds the lease. The result may be stale: the receiver must check its own term.
 	Holder(name string) (cluster.Node, bool)
-	// Campaign takes part in the election of name among the nodes of the zones until ctx ends. Whenever this node wins, it
-	// calls lead with a context that ends before another node can hold the lease; the next
-	// campaign starts after lead has returned.
+	// Campaign campaigns for the lease among the nodes of the zones until ctx ends. Each time this node wins, it calls lead
+	// with a context that ends before another node can hold the lease, and campaigns again only after lead has returned.
 	Campaign(ctx context.Context, name string, zones []string, lead func(ctx context.Context, term Term))
 }
 
-// Witness is an Elector that takes in what its user learns of a holder, so that the voters need not be asked.
+// HolderObserver is implemented by electors that update cached holders from their users' calls, which saves queries to voters.
 type Witness interface {
-	// Confirm tells that the holder has just acted under the token.
+	// Confirm reports that the holder has just acted under the token.
 	Confirm(name string, token uint64)
-	// Doubt tells that the holder believed in has not answered, or not as the holder.
+	// Invalidate reports that the cached holder did not reply, or replied that it is not the holder.
 	Doubt(name string)
 }
--- a/internal/leadership/metrics.go
+++ b/internal/leadership/metrics.go
@@ -2,7 +2,7 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// metrics count what the leases cost.
+// metrics counts term changes and messages between electors.
 type metrics struct {
 	acquired, lost, sent, dropped, failed prometheus.Counter
 }
--- a/internal/leadership/static.go
+++ b/internal/leadership/static.go
@@ -12,8 +12,8 @@
 // staticToken is the fencing token of every term of a Static elector.
 const staticToken = 1
 
-// Static is an Elector whose holders follow from a fixed list of nodes: the node of the zones that ranks highest for the
-// name by rendezvous hashing. It is for a single node and for tests: it does not move a lease when the holder dies.
+// Static is an Elector over a fixed list of nodes. The holder is the node of the zones that ranks highest by rendezvous
+// hashing. There is no failover, so it is only for single-node deployments and tests.
 type Static struct {
 	self  string
 	nodes []cluster.Node
@@ -23,17 +23,17 @@
 // Electorate returns the zones whose nodes may hold the lease of a name; none means every zone.
 type Electorate func(name string) []string
 
-// FixedElectorate returns an Electorate that looks the name up in a table.
+// FixedElectorate returns an Electorate backed by a map from lease names to zones.
 func FixedElectorate(zones map[string][]string) Electorate {
 	return func(name string) []string { return zones[name] }
 }
 
-// NewStatic returns the elector of the node self among nodes. zones gives the electorate of a lease name, which Holder needs.
+// NewStatic returns the elector of the node self. Holder uses zones to find the electorate of a lease.
 func NewStatic(self string, nodes []cluster.Node, zones Electorate) *Static {
 	return &Static{self: self, nodes: nodes, zones: zones}
 }
 
-// Holder implements Elector. A name without a known electorate is held by any node.
+// Holder implements Elector. A lease without an electorate may be held by any node.
 func (s *Static) Holder(name string) (cluster.Node, bool) {
 	return s.highest(name, s.zones(name))
 }
--- a/internal/leadership/suspended_test.go
+++ b/internal/leadership/suspended_test.go
@@ -11,11 +11,11 @@
 	"github.com/covelink/covelink/internal/boottime"
 )
 
-// A holder that is suspended compares its lease's deadline by a clock that went on: until now only its wall clock told it, which may have been
-// set back meanwhile.
+// Guards against a suspended holder that outlives its lease because its monotonic clock stopped and its wall clock was set
+// back.
 func TestClockOfSuspendedHolder(t *testing.T) {
 	const slept = 10 * time.Second
-	Convey("The clock by which leases are judged counts a suspension", t, func() {
+	Convey("The elector's monotonic clock advances during a suspension", t, func() {
 		elector := New(Params{Logger: log.NewNopLogger(), Registerer: prometheus.NewRegistry()})
 		before := elector.now()
 		boottime.SimulateSuspension(slept)
--- a/internal/leadership/term.go
+++ b/internal/leadership/term.go
@@ -7,8 +7,8 @@
 	"github.com/covelink/covelink/coord/lease"
 )
 
-// termContext is the context of one term. It ends when the term is lost; whoever asks Err after a pause of the process
-// learns of a lapse even before the timer that ends the context has run.
+// termContext is the context of one term, canceled when the term ends. Err also checks the deadline, so that it reports a
+// lapse after a process pause even if no timer has fired yet.
 type termContext struct {
 	context.Context
 	cancel   context.CancelFunc
@@ -17,7 +17,7 @@
 	term     Term
 }
 
-// newTermContext returns the context of a term whose deadline is still to be stored.
+// newTermContext returns the context of a term. The caller must store the deadline.
 func newTermContext(parent context.Context, now func() lease.Instant, term Term) *termContext {
 	ctx, cancel := context.WithCancel(parent)
 	return &termContext{Context: ctx, cancel: cancel, now: now, term: term}
--- a/internal/leadership/transport.go
+++ b/internal/leadership/transport.go
@@ -10,54 +10,55 @@
 )
 
 const (
-	// maxInFlight bounds the messages on their way to one node; more are dropped, as a network may drop them.
+	// maxInFlight bounds the messages in flight to one node; further ones are dropped, which the protocol tolerates.
 	maxInFlight = 16
-	// maxPeers bounds the nodes remembered because they asked.
+	// maxPeers bounds the cached peer addresses.
 	maxPeers = 4096
-	// maxResolve bounds the names that one request asks the addresses of.
+	// maxResolve bounds the names resolved per request.
 	maxResolve = 64
 )
 
-// exchangeRequest carries a message of a group to another node.
+// exchangeRequest carries a message to another member of a group. Its type name is the rpc method name on the wire.
 type exchangeRequest struct {
-	// Digest names the introduction, which is sent along when the receiver has asked for it.
-	Digest       uint64
-	Introduction *introduction
+	// Digest identifies the header of the message.
+	Digest uint64
+	// Introduction is that header. It is nil unless the receiver has replied with Stranger.
+	Introduction *messageHeader
 	Message      lease.Message
-	// Resolve names the nodes whose addresses the sender lacks.
+	// Resolve lists the names of nodes whose addresses the sender needs.
 	Resolve []string
 }
 
-// exchangeReply carries what the message led to for the node that sent it.
+// exchangeReply carries the replies to a message.
 type exchangeReply struct {
-	// Stranger is true when the message was not taken in because the introduction is not known.
+	// Stranger is true if the message was not applied because the receiver lacks its header.
 	Stranger bool
-	// Granted has a bit for each ask that is granted plainly; other answers are in Messages.
+	// Granted is a bitmap of the asks that were granted without further data; other answers are in Messages.
 	Granted  uint64
 	Messages []lease.Message
-	// Sums are nodeSum of the holders that Messages name, in order of their names; 0 for one not known.
+	// Sums are the checksums of the holders in Messages, in order of their names; 0 for an unknown node.
 	Sums []uint64
-	// Nodes are those asked for.
+	// Nodes are the nodes listed in Resolve that the receiver knows.
 	Nodes []cluster.Node
 }
 
-// exchange serves another node's message.
+// exchange handles a message of another node.
 func (e *LeaseElector) exchange(_ context.Context, peer rpc.Peer, request exchangeRequest) (exchangeReply, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	made, known, err := e.introduced(peer, request)
+	header, known, err := e.findHeader(peer, request)
 	if err != nil || !known {
 		return exchangeReply{Stranger: true}, err
 	}
-	g := e.group(made.Zones)
+	g := e.group(header.Zones)
 	if g == nil {
-		return exchangeReply{}, v1.Errorf(v1.CodeInvalid, "no seed of these zones is known")
+		return exchangeReply{}, v1.Errorf(v1.CodeInvalid, "lease message names zones without voters, or there are too many zone sets")
 	}
 	defer e.wakeUp()
-	e.learn(made.From)
-	message := made.address(request.Message, e.params.Self.Name)
+	e.cachePeer(header.From)
+	message := header.restore(request.Message, e.params.Self.Name)
 	var replies []lease.Message
-	for _, answer := range e.settle(g, e.now(), []lease.Message{message}) {
+	for _, answer := range e.applyLocal(g, e.now(), []lease.Message{message}) {
 		if answer.To == peer.Name {
 			replies = append(replies, answer)
 			continue
@@ -66,63 +67,63 @@
 	}
 	var reply exchangeReply
 	reply.Messages, reply.Granted = stripReply(message, replies)
-	reply.Sums = e.sums(holdersNamed(reply.Messages))
-	reply.Nodes = e.resolve(request.Resolve)
+	reply.Sums = e.checksums(holderNames(reply.Messages))
+	reply.Nodes = e.resolveNodes(request.Resolve)
 	return reply, nil
 }
 
-// introduced returns the introduction that the request names; known is false when the peer has to make it.
-func (e *LeaseElector) introduced(peer rpc.Peer, request exchangeRequest) (made introduction, known bool, err error) {
+// findHeader returns the header of the request. known is false if the peer must send it.
+func (e *LeaseElector) findHeader(peer rpc.Peer, request exchangeRequest) (header messageHeader, known bool, err error) {
 	if request.Introduction == nil {
-		made, known = e.introductions[introductionKey{node: peer.Name, digest: request.Digest}]
-		return made, known, nil
+		header, known = e.headers[headerKey{node: peer.Name, digest: request.Digest}]
+		return header, known, nil
 	}
-	made = *request.Introduction
-	if made.From.Name != peer.Name {
-		return made, false, v1.Errorf(v1.CodeInvalid, "a lease message must come from the node it names")
+	header = *request.Introduction
+	if header.From.Name != peer.Name {
+		return header, false, v1.Errorf(v1.CodeInvalid, "lease message names a sender other than the peer that sent it")
 	}
-	e.introductions.keep(peer.Name, made.digest(), made)
-	return made, true, nil
+	e.headers.add(peer.Name, header.digest(), header)
+	return header, true, nil
 }
 
-// sums returns what this node knows of the named ones, as nodeSum.
-func (e *LeaseElector) sums(names []string) []uint64 {
+// checksums returns the checksum of each named node, or 0 for an unknown one.
+func (e *LeaseElector) checksums(names []string) []uint64 {
 	var sums []uint64
 	for _, name := range names {
 		var sum uint64
-		if node, ok := e.lookUp(name); ok {
-			sum = nodeSum(node)
+		if node, ok := e.lookupNode(name); ok {
+			sum = nodeChecksum(node)
 		}
 		sums = append(sums, sum)
 	}
 	return sums
 }
 
-func (e *LeaseElector) resolve(names []string) []cluster.Node {
+func (e *LeaseElector) resolveNodes(names []string) []cluster.Node {
 	var nodes []cluster.Node
 	for _, name := range names[:min(len(names), maxResolve)] {
-		if node, ok := e.lookUp(name); ok {
+		if node, ok := e.lookupNode(name); ok {
 			nodes = append(nodes, node)
 		}
 	}
 	return nodes
 }
 
-// learn remembers a node's address.
-func (e *LeaseElector) learn(node cluster.Node) {
+// cachePeer caches the address of a node. The lock is held.
+func (e *LeaseElector) cachePeer(node cluster.Node) {
 	_, known := e.peers[node.Name]
 	if node.Name != e.params.Self.Name && (known || len(e.peers) < maxPeers) {
 		e.peers[node.Name] = node
 	}
 }
 
-// send calls another node in the background and takes its reply in; done, if not nil, is called at the end. A message that
-// cannot be sent is lost. The lock is held.
+// send sends a message in the background and applies the reply, then calls done if it is not nil. A message that cannot be
+// sent is dropped. The lock is held.
 func (e *LeaseElector) send(g *group, message lease.Message, done func()) {
 	if done == nil {
 		done = func() {}
 	}
-	node, known := e.lookUp(message.To)
+	node, known := e.lookupNode(message.To)
 	if !known || e.closed || e.inFlight[message.To] >= maxInFlight {
 		e.metrics.dropped.Inc()
 		done()
@@ -133,41 +134,41 @@
 	e.sends.Go(func() {
 		defer done()
 		messages, err := e.call(context.Background(), node, g.zones, message)
-		e.answered(g, node.Name, messages, err)
+		e.handleReply(g, node.Name, messages, err)
 	})
 }
 
-// call sends the message and returns those that answer it. It introduces this node, and asks for the addresses of the holders
-// named, if need be.
+// call sends the message and returns the replies. It resends the message with its header if the receiver lacks it, and
+// resolves holders in the replies that are unknown or have a stale address.
 func (e *LeaseElector) call(ctx context.Context, node cluster.Node, zones []string, message lease.Message) ([]lease.Message, error) {
 	ctx, cancel := context.WithTimeout(ctx, e.params.Timing.LeaseLength/2)
 	defer cancel()
-	made := e.introduce(zones, message)
-	request := exchangeRequest{Digest: made.digest(), Message: strip(message)}
-	reply, err := e.exchangeWith(ctx, node, request)
+	header := e.headerFor(zones, message)
+	request := exchangeRequest{Digest: header.digest(), Message: strip(message)}
+	reply, err := e.callExchange(ctx, node, request)
 	if err == nil && reply.Stranger {
-		request.Introduction = &made
-		reply, err = e.exchangeWith(ctx, node, request)
+		request.Introduction = &header
+		reply, err = e.callExchange(ctx, node, request)
 	}
 	if err != nil {
 		return nil, err
 	}
-	if unknown := e.unknown(reply); len(unknown) > 0 {
-		// Without an answer the holder stays unknown, and is asked for again when it is next named.
-		if resolved, err := e.exchangeWith(ctx, node, exchangeRequest{Digest: request.Digest, Resolve: unknown}); err == nil {
-			e.learnAll(resolved.Nodes)
+	if unknown := e.unresolvedHolders(reply); len(unknown) > 0 {
+		// On an error the holder stays unresolved until another reply names it.
+		if resolved, err := e.callExchange(ctx, node, exchangeRequest{Digest: request.Digest, Resolve: unknown}); err == nil {
+			e.cachePeers(resolved.Nodes)
 		}
 	}
 	return restoreReply(message, reply.Messages, reply.Granted), nil
 }
 
-func (e *LeaseElector) exchangeWith(ctx context.Context, node cluster.Node, request exchangeRequest) (exchangeReply, error) {
+func (e *LeaseElector) callExchange(ctx context.Context, node cluster.Node, request exchangeRequest) (exchangeReply, error) {
 	return rpc.Call[exchangeRequest, exchangeReply](ctx, e.params.Client, node.Address, request)
 }
 
-// introduce returns what the message has in common with the others of this node to the group.
-func (e *LeaseElector) introduce(zones []string, message lease.Message) introduction {
-	return introduction{
+// headerFor returns the header shared by this node's messages to the group.
+func (e *LeaseElector) headerFor(zones []string, message lease.Message) messageHeader {
+	return messageHeader{
 		Zones:       zones,
 		From:        e.params.Self,
 		Incarnation: e.incarnation,
@@ -176,8 +177,8 @@
 	}
 }
 
-// address is the reverse of strip on the node that receives the message.
-func (i introduction) address(message lease.Message, to string) lease.Message {
+// restore reverses strip at the receiver.
+func (i messageHeader) restore(message lease.Message, to string) lease.Message {
 	message.From, message.To = i.From.Name, to
 	message.Incarnation = i.Incarnation
 	message.Set = i.Set
@@ -185,15 +186,15 @@
 	return message
 }
 
-// unknown returns the holders named by a reply of whom the other node knows something else than this one.
-func (e *LeaseElector) unknown(reply exchangeReply) []string {
+// unresolvedHolders returns the holders in a reply whose cached node is missing or differs from the sender's.
+func (e *LeaseElector) unresolvedHolders(reply exchangeReply) []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var unknown []string
-	names := holdersNamed(reply.Messages)
+	names := holderNames(reply.Messages)
 	for at, name := range names[:min(len(names), len(reply.Sums))] {
-		node, ok := e.lookUp(name)
-		differs := !ok || nodeSum(node) != reply.Sums[at]
+		node, ok := e.lookupNode(name)
+		differs := !ok || nodeChecksum(node) != reply.Sums[at]
 		if name != e.params.Self.Name && reply.Sums[at] != 0 && differs {
 			unknown = append(unknown, name)
 		}
@@ -201,16 +202,16 @@
 	return unknown
 }
 
-func (e *LeaseElector) learnAll(nodes []cluster.Node) {
+func (e *LeaseElector) cachePeers(nodes []cluster.Node) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, node := range nodes {
-		e.learn(node)
+		e.cachePeer(node)
 	}
 }
 
-// answered takes in what a call led to.
-func (e *LeaseElector) answered(g *group, node string, messages []lease.Message, err error) {
+// handleReply applies the replies of a call.
+func (e *LeaseElector) handleReply(g *group, node string, messages []lease.Message, err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.inFlight[node]--; e.inFlight[node] == 0 {
--- a/internal/leadership/voters.go
+++ b/internal/leadership/voters.go
@@ -10,15 +10,16 @@
 )
 
 const (
-	// maxVoters bounds a voter set; more voters cost messages and hardly add to availability.
+	// maxVoters bounds a voter set. More voters cost messages and add little availability.
 	maxVoters = 7
-	// pair is the size of a set that one more voter makes able to lose one.
-	pair     = 2
-	firstSet = 1
+	// pairSize is the size of a set that needs a third voter to tolerate a failure.
+	pairSize         = 2
+	initialSetNumber = 1
 )
 
-// FirstVoters returns the first voter set of the zones, which are sorted: their seeds, taken from each zone in turn while there are too many. Of two
-// seeds neither is a majority without the other, so a witness of another zone votes with them; it does not campaign.
+// FirstVoters returns the initial voter set of the zones, which must be sorted: up to maxVoters of their seeds, taken from
+// the zones round robin. Two seeds get a witness from another zone, which votes but does not campaign, as they could not
+// tolerate a failure alone.
 func FirstVoters(seeds []cluster.Node, zones []string) voterset.Set {
 	byZone := make([][]string, len(zones))
 	for _, seed := range seeds {
@@ -37,13 +38,13 @@
 			}
 		}
 	}
-	if len(members) == pair {
+	if len(members) == pairSize {
 		members = append(members, witness(seeds, zones)...)
 	}
-	return voterset.New(firstSet, members...)
+	return voterset.New(initialSetNumber, members...)
 }
 
-// witness returns the seed outside the zones that ranks first for them; none if there is no such seed.
+// witness returns the seed outside the zones that ranks first for them, if any.
 func witness(seeds []cluster.Node, zones []string) []string {
 	var names []string
 	var members []rendezvous.Member
--- a/internal/leadership/wire.go
+++ b/internal/leadership/wire.go
@@ -13,25 +13,25 @@
 )
 
 const (
-	// maxIntroductions bounds the introductions remembered.
-	maxIntroductions = 8192
-	// maxGrantBits bounds the grants that a reply tells by one bit each.
+	// maxHeaders bounds the cached headers.
+	maxHeaders = 8192
+	// maxGrantBits is the size of the grant bitmap of a reply.
 	maxGrantBits = 64
 )
 
-// introduction is what all messages of a node's life to a group have in common. It crosses the wire when the receiver does not
-// have it yet; messages then name it by its digest.
-type introduction struct {
+// messageHeader holds the fields that all messages of a node's incarnation to a group share. It is sent only to receivers that
+// lack it; other messages carry its digest.
+type messageHeader struct {
 	Zones       []string
 	From        cluster.Node
 	Incarnation uint64
 	Set         voterset.Set
-	// Length is the lease length that asks are for.
+	// Length is the lease length requested by asks.
 	Length time.Duration
 }
 
-// digest identifies the introduction among those of the same node.
-func (i introduction) digest() uint64 {
+// digest returns a hash that identifies the header among those of the same node.
+func (i messageHeader) digest() uint64 {
 	sum := xxhash.New()
 	write := func(parts ...string) {
 		var length [8]byte
@@ -46,14 +46,14 @@
 			sum.Write(binary.BigEndian.AppendUint64(nil, value))
 		}
 	}
-	numbers(i.Incarnation, uint64(i.Length), i.Set.Number, uint64(len(i.Zones)), uint64(len(i.Set.Members)), nodeSum(i.From))
+	numbers(i.Incarnation, uint64(i.Length), i.Set.Number, uint64(len(i.Zones)), uint64(len(i.Set.Members)), nodeChecksum(i.From))
 	write(i.Zones...)
 	write(i.Set.Members...)
 	return sum.Sum64()
 }
 
-// nodeSum tells whether two nodes know the same of a third; never 0.
-func nodeSum(node cluster.Node) uint64 {
+// nodeChecksum returns a checksum of the node's fields, by which two nodes compare their cached copies. It is never 0.
+func nodeChecksum(node cluster.Node) uint64 {
 	sum := xxhash.New()
 	for _, part := range []string{node.Name, node.Zone, node.Address} {
 		sum.WriteString(part)
@@ -65,24 +65,24 @@
 	return max(sum.Sum64(), 1)
 }
 
-// introductionKey is a node and the digest of one of its introductions.
-type introductionKey struct {
+// headerKey identifies a header by its sender and digest.
+type headerKey struct {
 	node   string
 	digest uint64
 }
 
-// introductions are those that other nodes have made.
-type introductions map[introductionKey]introduction
+// headerCache holds the headers received from other nodes.
+type headerCache map[headerKey]messageHeader
 
-// keep remembers an introduction of the node.
-func (i introductions) keep(node string, digest uint64, made introduction) {
-	if len(i) >= maxIntroductions {
+// add caches a header, and first clears the cache if it is full.
+func (i headerCache) add(node string, digest uint64, header messageHeader) {
+	if len(i) >= maxHeaders {
 		clear(i)
 	}
-	i[introductionKey{node: node, digest: digest}] = made
+	i[headerKey{node: node, digest: digest}] = header
 }
 
-// strip returns the message without what the introduction tells.
+// strip returns the message without the fields of its header.
 func strip(message lease.Message) lease.Message {
 	message.From, message.To = "", ""
 	message.Incarnation = 0
@@ -91,30 +91,30 @@
 	return message
 }
 
-// stripReply returns the messages that answer a request without what both sides know, and as bits the plain grants of the
-// request's asks. Each is from this node to the one that asked.
+// stripReply returns the replies to a request without the fields that the requester can restore, and a bitmap of the
+// request's asks that were granted without further data. Replies must be from the request's receiver to its sender.
 func stripReply(request lease.Message, replies []lease.Message) (stripped []lease.Message, granted uint64) {
 	for _, reply := range replies {
 		reply.From, reply.To = "", ""
 		if reply.Set.Equal(request.Set) {
 			reply.Set = voterset.Set{}
-			reply.Answers, granted = takeGrants(request.Asks, reply.Answers, granted)
+			reply.Answers, granted = packGrants(request.Asks, reply.Answers, granted)
 		}
 		if len(reply.Asks)+len(reply.Releases) == 0 {
 			reply.Incarnation, reply.Length = 0, 0
 		}
-		if saysSomething(reply) {
+		if hasContent(reply) {
 			stripped = append(stripped, reply)
 		}
 	}
 	return stripped, granted
 }
 
-// takeGrants moves the plain grants of the asks from the answers into the bits.
-func takeGrants(asks []lease.Ask, answers []lease.Answer, granted uint64) ([]lease.Answer, uint64) {
+// packGrants moves plain grants from the answers into the bitmap.
+func packGrants(asks []lease.Ask, answers []lease.Answer, granted uint64) ([]lease.Answer, uint64) {
 	var rest []lease.Answer
 	for _, answer := range answers {
-		at := slices.IndexFunc(asks, func(ask lease.Ask) bool { return answer == grantOf(ask) })
+		at := slices.IndexFunc(asks, func(ask lease.Ask) bool { return answer == plainGrant(ask) })
 		if at < 0 || at >= maxGrantBits {
 			rest = append(rest, answer)
 			continue
@@ -124,21 +124,21 @@
 	return rest, granted
 }
 
-func grantOf(ask lease.Ask) lease.Answer {
+func plainGrant(ask lease.Ask) lease.Answer {
 	return lease.Answer{Name: ask.Name, Token: ask.Token, Round: ask.Round, Verdict: lease.Granted}
 }
 
-func saysSomething(m lease.Message) bool {
+func hasContent(m lease.Message) bool {
 	return len(m.Asks)+len(m.Answers)+len(m.Releases)+len(m.Notices)+len(m.Queries)+len(m.Sightings) > 0
 }
 
-// restoreReply is the reverse of stripReply on the node that sent the request.
+// restoreReply reverses stripReply at the requester.
 func restoreReply(request lease.Message, stripped []lease.Message, granted uint64) []lease.Message {
 	var restored []lease.Message
 	grants := lease.Message{}
 	for at, ask := range request.Asks {
 		if at < maxGrantBits && granted&(1<<at) != 0 {
-			grants.Answers = append(grants.Answers, grantOf(ask))
+			grants.Answers = append(grants.Answers, plainGrant(ask))
 		}
 	}
 	if len(grants.Answers) > 0 {
@@ -154,8 +154,8 @@
 	return restored
 }
 
-// holdersNamed returns the holders that messages name, in order.
-func holdersNamed(messages []lease.Message) []string {
+// holderNames returns the distinct holders in the messages, sorted.
+func holderNames(messages []lease.Message) []string {
 	var names []string
 	for _, message := range messages {
 		for _, answer := range message.Answers {
--- a/internal/leadership/wire_test.go
+++ b/internal/leadership/wire_test.go
@@ -12,16 +12,16 @@
 	"github.com/covelink/covelink/internal/cluster"
 )
 
-// drawAnswers draws answers to some of the asks, granted or not, in any order.
+// drawAnswers draws answers to a random subset of the asks, granted or refused, in random order.
 func drawAnswers(t *rapid.T, asks []lease.Ask) []lease.Answer {
 	var answers []lease.Answer
 	for _, ask := range rapid.Permutation(asks).Draw(t, "order") {
-		answer := grantOf(ask)
+		answer := plainGrant(ask)
 		switch rapid.IntRange(0, 3).Draw(t, "verdict") {
 		case 0:
 			answer.Verdict, answer.Holder, answer.Remaining = lease.RefusedHeld, "other", time.Second
 		case 1:
-			answer.Round++ // of another ask
+			answer.Round++ // matches no ask
 		case 2:
 			continue
 		}
@@ -30,7 +30,7 @@
 	return answers
 }
 
-func TestRepliesCrossTheWireWhole(t *testing.T) {
+func TestStripReplyRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := voterset.New(3, "v", "w")
 		request := lease.Message{From: "c", To: "v", Set: set}
@@ -45,37 +45,37 @@
 		got := make(map[lease.Answer]int)
 		for _, message := range restoreReply(request, stripped, granted) {
 			if message.From != "v" || message.To != "c" || !message.Set.Equal(reply.Set) {
-				t.Fatalf("restored as %+v", message)
+				t.Fatalf("restored message has wrong envelope: %+v", message)
 			}
 			for _, answer := range message.Answers {
 				got[answer]++
 			}
 		}
 		if len(got) != len(reply.Answers) {
-			t.Fatalf("%d answers, restored %d", len(reply.Answers), len(got))
+			t.Fatalf("reply has %d answers, but %d were restored", len(reply.Answers), len(got))
 		}
 		for _, answer := range reply.Answers {
 			if got[answer] != 1 {
-				t.Fatalf("%+v restored %d times", answer, got[answer])
+				t.Fatalf("answer %+v was restored %d times, want once", answer, got[answer])
 			}
 		}
 	})
 }
 
-func TestIntroductionDigests(t *testing.T) {
-	Convey("Whatever differs between two introductions, their digests differ", t, func() {
-		base := introduction{
+func TestHeaderDigests(t *testing.T) {
+	Convey("Headers that differ in any field have different digests", t, func() {
+		base := messageHeader{
 			Zones: []string{"a", "b"}, From: cluster.Node{Name: "n", Zone: "a", Address: "x:1"}, Incarnation: 1,
 			Set: voterset.New(1, "v", "w"), Length: time.Second,
 		}
-		changes := map[string]func(*introduction){
-			"zones":       func(i *introduction) { i.Zones = []string{"ab"} },
-			"address":     func(i *introduction) { i.From.Address = "x:2" },
-			"disk":        func(i *introduction) { i.From.HasDisk = true },
-			"incarnation": func(i *introduction) { i.Incarnation = 2 },
-			"set number":  func(i *introduction) { i.Set = voterset.New(2, "v", "w") },
-			"members":     func(i *introduction) { i.Set = voterset.New(1, "v", "x") },
-			"length":      func(i *introduction) { i.Length = 2 * time.Second },
+		changes := map[string]func(*messageHeader){
+			"zones":       func(i *messageHeader) { i.Zones = []string{"ab"} },
+			"address":     func(i *messageHeader) { i.From.Address = "x:2" },
+			"disk":        func(i *messageHeader) { i.From.HasDisk = true },
+			"incarnation": func(i *messageHeader) { i.Incarnation = 2 },
+			"set number":  func(i *messageHeader) { i.Set = voterset.New(2, "v", "w") },
+			"members":     func(i *messageHeader) { i.Set = voterset.New(1, "v", "x") },
+			"length":      func(i *messageHeader) { i.Length = 2 * time.Second },
 		}
 		for name, change := range changes {
 			Convey(name, func() {
@@ -87,17 +87,17 @@
 	})
 }
 
-func TestHolderAtANewAddress(t *testing.T) {
-	Convey("A node that knows an old address of a holder takes that of a voter's reply for wrong", t, func() {
+func TestHolderAddressChange(t *testing.T) {
+	Convey("A holder whose cached address differs from the replying voter's is resolved again", t, func() {
 		e := &LeaseElector{peers: make(map[string]cluster.Node)}
 		moved := cluster.Node{Name: "h", Address: "x:2"}
-		e.learn(cluster.Node{Name: "h", Address: "x:1"})
+		e.cachePeer(cluster.Node{Name: "h", Address: "x:1"})
 		reply := exchangeReply{
 			Messages: []lease.Message{{Sightings: []lease.Sighting{{Name: "n", Holder: "h"}}}},
-			Sums:     []uint64{nodeSum(moved)},
+			Sums:     []uint64{nodeChecksum(moved)},
 		}
-		So(e.unknown(reply), ShouldResemble, []string{"h"})
-		e.learn(moved)
-		So(e.unknown(reply), ShouldBeEmpty)
+		So(e.unresolvedHolders(reply), ShouldResemble, []string{"h"})
+		e.cachePeer(moved)
+		So(e.unresolvedHolders(reply), ShouldBeEmpty)
 	})
 }
--- a/internal/logtrace/duties_test.go
+++ b/internal/logtrace/duties_test.go
@@ -11,7 +11,7 @@
 
 const dutyLog = `level=info ts=2026-07-10T12:00:00Z node=c-1 part=duties msg="duties begun" token=7
 level=info ts=2026-07-10T12:00:04Z node=c-1 part=duties msg="engines ordered" service=pool zone=a desired=5 running=5 reason="as found" token=7 err=null
-level=info ts=2026-07-10T12:00:08Z node=c-1 part=duties msg="usage reported" window=41 tenants=2 requests=9 token=7 after=2.6s err="duty: no answer"
+level=info ts=2026-07-10T12:00:08Z node=c-1 part=duties msg="usage reported" window=41 tenants=2 requests=9 token=7 after=2.6s err="duty: no response from platform"
 level=info ts=2026-07-10T12:00:09Z node=c-1 part=duties msg="usage reported" window=41 tenants=2 requests=9 token=7 after=3.6s err=null
 level=info ts=2026-07-10T12:00:13Z node=c-1 part=duties msg="usage reported" window=42 tenants=1 requests=3 token=7 after=2.5s err="duty: refused with status 429"
 level=info ts=2026-07-10T12:00:14Z node=g-1 part=gateway msg="caller refused" request=r1 reason="unknown key" config=9 key_hash=0a1b2c3d
@@ -22,7 +22,7 @@
 const dutyReport = `holders of the duties
   2026-07-10T12:00:00Z  c-1, token 7
 windows of use
-  window 41: 9 requests of 2 tenants, 2 attempts, last failure: duty: no answer, taken 3.6s after its end from c-1
+  window 41: 9 requests of 2 tenants, 2 attempts, last failure: duty: no response from platform, taken 3.6s after its end from c-1
   window 42: 3 requests of 1 tenants, 1 attempts, last failure: duty: refused with status 429, never taken
 orders of engines
   2026-07-10T12:00:04Z  pool/a: 5 ordered, 5 ran, as found (taken)
