--- a/internal/configsync/manager.go
+++ b/internal/configsync/manager.go
@@ -202,7 +202,7 @@
 
 // witness tells the elector what the answer to a heartbeat says of the coordinator.
 func (m *Manager) witness(grant Grant, err error) {
-	witness, ok := m.params.Elector.(leadership.Witness)
+	witness, ok := m.params.Elector.(leadership.HolderObserver)
 	switch {
 	case !ok:
 	case err != nil:
--- a/internal/leadership/elector.go
+++ b/internal/leadership/elector.go
@@ -59,7 +59,7 @@
 
 var (
 	_ Elector = (*LeaseElector)(nil)
-	_ Witness = (*LeaseElector)(nil)
+	_ HolderObserver = (*LeaseElector)(nil)
 )
 
 // New returns an elector. It votes while the server passed to Register is serving, and campaigns while Run is running.
--- a/internal/leadership/leadership.go
+++ b/internal/leadership/leadership.go
@@ -30,7 +30,7 @@
 }
 
 // HolderObserver is implemented by electors that update cached holders from their users' calls, which saves queries to voters.
-type Witness interface {
+type HolderObserver interface {
 	// Confirm reports that the holder has just acted under the token.
 	Confirm(name string, token uint64)
 	// Invalidate reports that the cached holder did not reply, or replied that it is not the holder.
