--- a/internal/configsync/manager.go
+++ b/internal/configsync/manager.go
@@ -206,7 +206,7 @@
 	switch {
 	case !ok:
 	case err != nil:
-		witness.Doubt(leadership.ZoneLease(m.self.Zone))
+		witness.Invalidate(leadership.ZoneLease(m.self.Zone))
 	default:
 		witness.Confirm(leadership.ZoneLease(m.self.Zone), grant.Version.Token)
 	}
--- a/internal/leadership/hint.go
+++ b/internal/leadership/hint.go
@@ -98,7 +98,7 @@
 }
 
 // Invalidate implements HolderObserver. The next call of Holder queries the voters.
-func (e *LeaseElector) Doubt(name string) {
+func (e *LeaseElector) Invalidate(name string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	cached := e.hint(name)
--- a/internal/leadership/hint_test.go
+++ b/internal/leadership/hint_test.go
@@ -33,7 +33,7 @@
 			So(cached.expires, ShouldEqual, length/2)
 		})
 		Convey("an invalidation expires it, and a newer sighting replaces it", func() {
-			e.Doubt("a")
+			e.Invalidate("a")
 			So(cached.expires, ShouldEqual, 0)
 			e.applySighting(e.now(), lease.Sighting{Name: "a", Holder: "n", Token: 8, Remaining: length})
 			So(cached.holder, ShouldEqual, "n")
--- a/internal/leadership/leadership.go
+++ b/internal/leadership/leadership.go
@@ -34,5 +34,5 @@
 	// Confirm reports that the holder has just acted under the token.
 	Confirm(name string, token uint64)
 	// Invalidate reports that the cached holder did not reply, or replied that it is not the holder.
-	Doubt(name string)
+	Invalidate(name string)
 }
