--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -37,7 +37,7 @@
 func (e *RefusedError) Error() string { return fmt.Sprintf("duty: refused with status %d", e.Status) }
 
 // Executor makes the calls of one term.
-type Performer struct {
+type Executor struct {
 	Stamp   Stamp
 	Journal *permits.Journal
 	// Observe, if not nil, is called after each call that was made.
@@ -45,11 +45,11 @@
 }
 
 // TakeOver takes the journal over, which stops the calls of earlier terms. It retries until it succeeds or ctx ends.
-func (p *Performer) TakeOver(ctx context.Context) { p.Journal.TakeOver(ctx) }
+func (p *Executor) TakeOver(ctx context.Context) { p.Journal.TakeOver(ctx) }
 
 // Do records a call on a subject and makes it. The function call must not send it after leaveBy. Do returns ErrHandoverPending
 // if the call may not be made yet, the journal's error if it could not be recorded, or the error of call.
-func (p *Performer) Do(ctx context.Context, subject string, call func(ctx context.Context, stamp Stamp, leaveBy time.Time) error) error {
+func (p *Executor) Do(ctx context.Context, subject string, call func(ctx context.Context, stamp Stamp, leaveBy time.Time) error) error {
 	allowed, leaveBy, err := p.Journal.Permit(ctx, []string{subject})
 	if err != nil {
 		return err
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -18,8 +18,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		Convey("A call needs a valid permit, waits out another process's call, and fails after a takeover by a later term", t, func() {
 			store := metastoretest.New()
-			newExecutor := func(holder string, token int64) *Performer {
-				return &Performer{
+			newExecutor := func(holder string, token int64) *Executor {
+				return &Executor{
 					Stamp: Stamp{Holder: holder, Token: token},
 					Journal: permits.New(permits.Params{
 						Store: store.Client(), Name: "duties", Holder: holder, Token: token, LeaseLength: 3 * time.Second, Transit: transit,
@@ -27,7 +27,7 @@
 				}
 			}
 			var calls []Stamp
-			call := func(p *Performer) error {
+			call := func(p *Executor) error {
 				return p.Do(context.Background(), "subject", func(_ context.Context, stamp Stamp, leaveBy time.Time) error {
 					So(time.Until(leaveBy), ShouldBeBetween, 0, permits.Validity+time.Nanosecond)
 					calls = append(calls, stamp)
--- a/internal/enginescale/manager.go
+++ b/internal/enginescale/manager.go
@@ -77,7 +77,7 @@
 }
 
 // Lead sends orders until ctx ends or a later term is found. duties records the calls.
-func (m *Manager) Lead(ctx context.Context, duties *duty.Performer) {
+func (m *Manager) Lead(ctx context.Context, duties *duty.Executor) {
 	m.mu.Lock()
 	m.desired, m.shortSince, m.orderedAt = make(map[Subject]int), make(map[Subject]time.Time), make(map[Subject]time.Time)
 	m.revision = 0
@@ -144,7 +144,7 @@
 }
 
 // send sends an order and persists the desired number once the platform has accepted it.
-func (m *Manager) send(ctx context.Context, duties *duty.Performer, order Order) error {
+func (m *Manager) send(ctx context.Context, duties *duty.Executor, order Order) error {
 	err := duties.Do(ctx, order.Subject.String(), func(ctx context.Context, stamp duty.Stamp, leaveBy time.Time) error {
 		return m.Platform.OrderEngines(ctx, stamp, leaveBy, order)
 	})
--- a/internal/enginescale/manager_test.go
+++ b/internal/enginescale/manager_test.go
@@ -83,7 +83,7 @@
 func (f *fixture) lead(name string, token int64) (stop func()) {
 	client := f.store.Client()
 	manager := New(Params{State: f.state, Platform: &f.platform, Store: client, Logger: log.NewNopLogger()})
-	performer := &duty.Performer{
+	performer := &duty.Executor{
 		Stamp:   duty.Stamp{Holder: name, Token: token},
 		Journal: permits.New(permits.Params{Store: client, Name: "duties", Holder: name, Token: token, LeaseLength: leaseLength}),
 	}
--- a/internal/fleetnode/duties.go
+++ b/internal/fleetnode/duties.go
@@ -78,7 +78,7 @@
 	if d.usage == nil && d.engines == nil {
 		return
 	}
-	performer := &duty.Performer{
+	performer := &duty.Executor{
 		Stamp: duty.Stamp{Holder: d.config.Node.Name, Token: term.Token},
 		Journal: permits.New(permits.Params{
 			Store:       d.store,
--- a/internal/usage/kit_test.go
+++ b/internal/usage/kit_test.go
@@ -158,7 +158,7 @@
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	h.cancel = cancel
-	performer := &duty.Performer{
+	performer := &duty.Executor{
 		Stamp:   duty.Stamp{Holder: name, Token: token},
 		Journal: permits.New(permits.Params{Store: h.client, Name: "duties", Holder: name, Token: token, LeaseLength: leaseLength, Transit: dutyTransit}),
 	}
--- a/internal/usage/reporter.go
+++ b/internal/usage/reporter.go
@@ -139,7 +139,7 @@
 }
 
 // Lead reports until ctx ends, or a later term does. duties records the calls.
-func (r *Reporter) Lead(ctx context.Context, duties *duty.Performer) {
+func (r *Reporter) Lead(ctx context.Context, duties *duty.Executor) {
 	if !r.takeOver(ctx, duties.Stamp.Token) {
 		return
 	}
@@ -243,7 +243,7 @@
 }
 
 // startSends begins to send the reports whose counts the store holds as fixed.
-func (r *Reporter) startSends(ctx context.Context, duties *duty.Performer, sends *sync.WaitGroup) {
+func (r *Reporter) startSends(ctx context.Context, duties *duty.Executor, sends *sync.WaitGroup) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, report := range r.sendable {
@@ -260,7 +260,7 @@
 }
 
 // send sends a report until it is taken or the term ends.
-func (r *Reporter) send(ctx context.Context, duties *duty.Performer, report Report) {
+func (r *Reporter) send(ctx context.Context, duties *duty.Executor, report Report) {
 	for ctx.Err() == nil {
 		err := duties.Do(ctx, Subject, func(ctx context.Context, stamp duty.Stamp, leaveBy time.Time) error {
 			return r.Platform.ReportUsage(ctx, stamp, leaveBy, report)
