--- a/internal/leadership/elector.go
+++ b/internal/leadership/elector.go
@@ -58,7 +58,7 @@
 }
 
 var (
-	_ Elector = (*LeaseElector)(nil)
+	_ Elector        = (*LeaseElector)(nil)
 	_ HolderObserver = (*LeaseElector)(nil)
 )
 
--- a/internal/leadership/suspended_test.go
+++ b/internal/leadership/suspended_test.go
@@ -13,7 +13,7 @@
 
 // Guards against a suspended holder that outlives its lease because its monotonic clock stopped and its wall clock was set
 // back.
-func TestClockOfSuspendedHolder(t *testing.T) {
+func TestClockAdvancesDuringSuspension(t *testing.T) {
 	const slept = 10 * time.Second
 	Convey("The elector's monotonic clock advances during a suspension", t, func() {
 		elector := New(Params{Logger: log.NewNopLogger(), Registerer: prometheus.NewRegistry()})
