--- a/internal/batchrun/harness_test.go
+++ b/internal/batchrun/harness_test.go
@@ -193,7 +193,7 @@
 		Forwarder:     forwarder,
 		Store:         h.store.Client(),
 		MaxEndedBytes: h.maxEndedBytes,
-		Desk:          h.desk,
+		Dispatcher:    h.desk,
 		Zone:          h.zone,
 		Quota:         h.quota,
 		TextFolder:    h.textFolder,
--- a/internal/batchrun/paths_test.go
+++ b/internal/batchrun/paths_test.go
@@ -159,7 +159,7 @@
 	h.desk.Region = topology.Region
 	h.runner = batchrun.New(batchrun.Params{
 		State: coordinator.State, Transport: coordinator.Transport, Forwarder: coordinator.Forwarder,
-		Store: metastoretest.New().Client(), Desk: h.desk, Zone: coordinatorZone, EvacuateTime: evacuateTime, Logger: log.NewNopLogger(),
+		Store: metastoretest.New().Client(), Dispatcher: h.desk, Zone: coordinatorZone, EvacuateTime: evacuateTime, Logger: log.NewNopLogger(),
 	})
 	h.running.Go(func() { h.runner.Lead(ctx, 1) })
 	for i, zone := range []string{coordinatorZone, "zone-1"} {
--- a/internal/batchrun/residency.go
+++ b/internal/batchrun/residency.go
@@ -86,7 +86,7 @@
 // canExecute reports whether a worker or this process may execute an item's run. The mutex must be held.
 func (r *Runner) canExecute(it *item) bool {
 	residency := r.runResidency(it)
-	if r.allowedHere(residency) || r.Desk != nil && r.Desk.HasEligibleWorker(residency) {
+	if r.allowedHere(residency) || r.Dispatcher != nil && r.Dispatcher.HasEligibleWorker(residency) {
 		return true
 	}
 	if !it.job.noWorkerLogged {
@@ -101,8 +101,8 @@
 // it. The mutex must be held.
 func (r *Runner) dispatch(newRun *run, engine *fleet.Engine, assignment *itemwork.Assignment) bool {
 	residency := r.runResidency(newRun.item)
-	if r.Desk != nil {
-		if worker, ok := r.Desk.Assign(residency, engine, assignment); ok {
+	if r.Dispatcher != nil {
+		if worker, ok := r.Dispatcher.Assign(residency, engine, assignment); ok {
 			r.assignWorker(newRun, worker)
 			return true
 		}
--- a/internal/batchrun/run.go
+++ b/internal/batchrun/run.go
@@ -133,8 +133,8 @@
 // assignWorker records the worker that executes a run.
 func (r *Runner) assignWorker(assigned *run, worker string) {
 	assigned.worker = worker
-	assigned.cancel = func() { r.Desk.Cancel(worker, assigned.id) }
-	assigned.dropRewardCall = func() { r.Desk.Release(worker, assigned.id) }
+	assigned.cancel = func() { r.Dispatcher.Cancel(worker, assigned.id) }
+	assigned.dropRewardCall = func() { r.Dispatcher.Release(worker, assigned.id) }
 }
 
 // pruneRuns removes those runs of an ended job whose streams have ended. The mutex must be held.
--- a/internal/batchrun/runner.go
+++ b/internal/batchrun/runner.go
@@ -50,8 +50,8 @@
 	Zone string
 	// Quota grants runs at cold engines; nil if no engine is cold.
 	Quota Quota
-	// Desk dispatches runs to workers; nil if this process executes all of them.
-	Desk *itemwork.Dispatcher
+	// Dispatcher dispatches runs to workers; nil if this process executes all of them.
+	Dispatcher *itemwork.Dispatcher
 	// EvacuateTime is how soon after the acknowledgement of its evacuation a zone receives no more requests; zero if zones are not evacuated.
 	EvacuateTime time.Duration
 	// Retention is how long a job is kept after its end; zero means DefaultRetention.
--- a/internal/batchrun/term.go
+++ b/internal/batchrun/term.go
@@ -35,8 +35,8 @@
 		r.awaitAdoption(r.add(found))
 	}
 	r.mu.Unlock()
-	if r.Desk != nil {
-		r.goroutines.Go(func() { r.Desk.Lead(ctx, token, r) })
+	if r.Dispatcher != nil {
+		r.goroutines.Go(func() { r.Dispatcher.Lead(ctx, token, r) })
 	}
 	level.Info(r.Logger).Log("msg", "leading", "token", token, "jobs", len(opened.Jobs), "withheld", len(opened.Withheld), "took", r.now().Sub(started).Round(time.Millisecond))
 	for i := range opened.Withheld {
@@ -74,7 +74,7 @@
 
 // awaitAdoption delays the items of a job from an earlier term, so that workers that still run them can report first. The mutex must be held.
 func (r *Runner) awaitAdoption(j *job) {
-	if r.Desk == nil {
+	if r.Dispatcher == nil {
 		return
 	}
 	for _, it := range j.items {
--- a/internal/fleetnode/coordinator.go
+++ b/internal/fleetnode/coordinator.go
@@ -62,7 +62,7 @@
 		Store:        store,
 		Quota:        coldstart.LocalQuota{Tracker: warmth, Limiter: grants},
 		Zone:         config.Node.Zone,
-		Desk:         desk,
+		Dispatcher:   desk,
 		EvacuateTime: config.Topology.EvacuateTime,
 		Retention:    config.Timing.BatchRetention,
 		TextFolder:   config.Data.Folder,
--- a/internal/jobresidency/deployment_test.go
+++ b/internal/jobresidency/deployment_test.go
@@ -197,7 +197,7 @@
 	state := d.newState()
 	desk := itemwork.NewDispatcher(log.NewNopLogger())
 	desk.Region = topology.Region
-	c.runner = batchrun.New(batchrun.Params{State: state, Transport: d, Store: store, Zone: zone, Desk: desk, Logger: log.NewNopLogger(),
+	c.runner = batchrun.New(batchrun.Params{State: state, Transport: d, Store: store, Zone: zone, Dispatcher: desk, Logger: log.NewNopLogger(),
 		Forwarder: forward.New(state, d, forward.NewPicker(time.Now), log.NewNopLogger())})
 	calls := rpc.NewClient(rpc.Peer{Name: name, Zone: zone}, d.network.dialFrom(zone, name))
 	c.elector = election.New(election.Params{
