--- a/internal/batchrun/cold.go
+++ b/internal/batchrun/cold.go
@@ -12,8 +12,8 @@
 type Quota interface {
 	// Cold reports whether a run at the engine needs a grant now.
 	Cold(engine *fleet.Engine) bool
-	// Free reports whether Take would give a grant.
-	Free(engine *fleet.Engine, rank routing.Rank) bool
+	// Available reports whether Take would give a grant.
+	Available(engine *fleet.Engine, rank routing.Rank) bool
 	// Take takes a grant for one run.
 	Take(engine *fleet.Engine, rank routing.Rank) bool
 }
@@ -26,7 +26,7 @@
 
 // hasColdCapacity reports whether an engine is warm or has a grant left for a run.
 func (r *Runner) hasColdCapacity(engine *fleet.Engine) bool {
-	return r.Quota == nil || !r.Quota.Cold(engine) || r.Quota.Free(engine, highestRank)
+	return r.Quota == nil || !r.Quota.Cold(engine) || r.Quota.Available(engine, highestRank)
 }
 
 // isCold reports whether a run at the engine needs a grant.
--- a/internal/batchrun/remote_test.go
+++ b/internal/batchrun/remote_test.go
@@ -117,7 +117,7 @@
 }
 
 func (q endingQuota) Cold(*fleet.Engine) bool               { return true }
-func (q endingQuota) Free(*fleet.Engine, routing.Rank) bool { return true }
+func (q endingQuota) Available(*fleet.Engine, routing.Rank) bool { return true }
 
 // Take returns once the desk has dropped its workers.
 func (q endingQuota) Take(*fleet.Engine, routing.Rank) bool {
--- a/internal/coldstart/limiter.go
+++ b/internal/coldstart/limiter.go
@@ -297,11 +297,11 @@
 	l.waiting = slices.DeleteFunc(l.waiting, func(known *waitingRequest) bool { return known == entry })
 }
 
-// Free reports whether Take would grant a send now.
-func (l *Limiter) Free(service, engine string, rank routing.Rank) bool {
+// Available reports whether Take would grant a send now.
+func (l *Limiter) Available(service, engine string, rank routing.Rank) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.free(service, engine, rank)
+	return l.available(service, engine, rank)
 }
 
 // Take grants one send of this process to an engine. It returns false if no grant is available now or a waiting Request of at least the same
@@ -309,7 +309,7 @@
 func (l *Limiter) Take(service, engine string, rank routing.Rank) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.free(service, engine, rank) {
+	if !l.available(service, engine, rank) {
 		l.counts.Refused++
 		return false
 	}
@@ -319,7 +319,7 @@
 }
 
 // The mutex must be held.
-func (l *Limiter) free(service, engine string, rank routing.Rank) bool {
+func (l *Limiter) available(service, engine string, rank routing.Rank) bool {
 	if !l.leading {
 		return false
 	}
--- a/internal/coldstart/local_quota.go
+++ b/internal/coldstart/local_quota.go
@@ -14,9 +14,9 @@
 // Cold reports whether a request to the engine needs a grant now.
 func (q LocalQuota) Cold(engine *fleet.Engine) bool { return q.Tracker.Cold(engine) }
 
-// Free reports whether Take would grant a send now.
-func (q LocalQuota) Free(engine *fleet.Engine, rank routing.Rank) bool {
-	return q.Limiter.Free(engine.Service, engine.ID, rank)
+// Available reports whether Take would grant a send now.
+func (q LocalQuota) Available(engine *fleet.Engine, rank routing.Rank) bool {
+	return q.Limiter.Available(engine.Service, engine.ID, rank)
 }
 
 // Take takes a grant for one request. It returns false if none is available now or a waiting Request of at least the same urgency competes for it.
