--- a/internal/batchrun/cold.go
+++ b/internal/batchrun/cold.go
@@ -12,10 +12,10 @@
 type Quota interface {
 	// Cold reports whether a run at the engine needs a grant now.
 	Cold(engine *fleet.Engine) bool
-	// Available reports whether Take would give a grant.
+	// Available reports whether TryAcquire would give a grant.
 	Available(engine *fleet.Engine, rank routing.Rank) bool
-	// Take takes a grant for one run.
-	Take(engine *fleet.Engine, rank routing.Rank) bool
+	// TryAcquire acquires a grant for one run.
+	TryAcquire(engine *fleet.Engine, rank routing.Rank) bool
 }
 
 // coldSendTimeout is how soon after placement a run must be sent to a cold engine. It equals the lifetime of a grant.
@@ -37,5 +37,5 @@
 	if !r.isCold(engine) {
 		return 0, true
 	}
-	return coldSendTimeout, r.Quota.Take(engine, rank)
+	return coldSendTimeout, r.Quota.TryAcquire(engine, rank)
 }
--- a/internal/batchrun/remote_test.go
+++ b/internal/batchrun/remote_test.go
@@ -116,11 +116,11 @@
 	desk *itemwork.Dispatcher
 }
 
-func (q endingQuota) Cold(*fleet.Engine) bool               { return true }
+func (q endingQuota) Cold(*fleet.Engine) bool                    { return true }
 func (q endingQuota) Available(*fleet.Engine, routing.Rank) bool { return true }
 
 // Take returns once the desk has dropped its workers.
-func (q endingQuota) Take(*fleet.Engine, routing.Rank) bool {
+func (q endingQuota) TryAcquire(*fleet.Engine, routing.Rank) bool {
 	go q.stop()
 	for q.desk.Workers() > 0 {
 		runtime.Gosched()
--- a/internal/coldstart/limiter.go
+++ b/internal/coldstart/limiter.go
@@ -297,16 +297,16 @@
 	l.waiting = slices.DeleteFunc(l.waiting, func(known *waitingRequest) bool { return known == entry })
 }
 
-// Available reports whether Take would grant a send now.
+// Available reports whether TryAcquire would grant a send now.
 func (l *Limiter) Available(service, engine string, rank routing.Rank) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.available(service, engine, rank)
 }
 
-// Take grants one send of this process to an engine. It returns false if no grant is available now or a waiting Request of at least the same
+// TryAcquire grants one send of this process to an engine. It returns false if no grant is available now or a waiting Request of at least the same
 // urgency competes for it.
-func (l *Limiter) Take(service, engine string, rank routing.Rank) bool {
+func (l *Limiter) TryAcquire(service, engine string, rank routing.Rank) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.available(service, engine, rank) {
--- a/internal/coldstart/limiter_test.go
+++ b/internal/coldstart/limiter_test.go
@@ -55,7 +55,7 @@
 		began := boottime.Now()
 		So(l.Ask(ctx, oneRequest(100*time.Millisecond)).Engine, ShouldBeEmpty)
 		So(boottime.Since(began), ShouldBeZeroValue)
-		So(l.Take("s", "a", routing.Rank{}), ShouldBeFalse)
+		So(l.TryAcquire("s", "a", routing.Rank{}), ShouldBeFalse)
 		reply := l.Ask(ctx, oneRequest(3*time.Second))
 		So(reply.Engine, ShouldEqual, "a")
 		So(boottime.Since(began), ShouldEqual, termStartDelay)
@@ -63,7 +63,7 @@
 	})
 	runLimiter(t, "Grants are given at the rate, by urgency and then in order of arrival", 10, func(l *Limiter, _ *time.Time) {
 		time.Sleep(termStartDelay)
-		So(l.Take("s", "a", routing.Rank{}), ShouldBeTrue)
+		So(l.TryAcquire("s", "a", routing.Rank{}), ShouldBeTrue)
 		var mu sync.Mutex
 		var order []int
 		var asking sync.WaitGroup
@@ -81,14 +81,14 @@
 			})
 			synctest.Wait()
 		}
-		So(l.Take("s", "a", routing.Rank{Route: 1}), ShouldBeFalse)
+		So(l.TryAcquire("s", "a", routing.Rank{Route: 1}), ShouldBeFalse)
 		asking.Wait()
 		So(order, ShouldResemble, []int{3, 1, 2, 0})
 		So(boottime.Since(began), ShouldBeBetween, 399*time.Millisecond, 410*time.Millisecond)
 	})
 	runLimiter(t, "A request that cannot be granted in time is refused at once, and one whose caller has disconnected takes no grant", 2, func(l *Limiter, _ *time.Time) {
 		time.Sleep(termStartDelay)
-		So(l.Take("s", "a", routing.Rank{}), ShouldBeTrue)
+		So(l.TryAcquire("s", "a", routing.Rank{}), ShouldBeTrue)
 		began := boottime.Now()
 		So(l.Ask(ctx, oneRequest(400*time.Millisecond)).RetryAfter, ShouldBeGreaterThan, 0)
 		So(boottime.Since(began), ShouldBeZeroValue)
@@ -97,14 +97,14 @@
 		So(l.Ask(leaving, oneRequest(time.Second)).Engine, ShouldBeEmpty)
 		time.Sleep(400 * time.Millisecond)
 		So(l.Waiting(), ShouldEqual, 0)
-		So(l.Take("s", "a", routing.Rank{}), ShouldBeTrue)
+		So(l.TryAcquire("s", "a", routing.Rank{}), ShouldBeTrue)
 	})
 	runLimiter(t, "A coordinator whose lease the store has not confirmed for a while reduces its grants, then stops them", 10, func(l *Limiter, shown *time.Time) {
 		time.Sleep(termStartDelay)
 		*shown = boottime.Now()
 		grants := func(length time.Duration) (given int) {
 			for began := boottime.Now(); boottime.Since(began) < length; time.Sleep(10 * time.Millisecond) {
-				if l.Take("s", "a", routing.Rank{}) {
+				if l.TryAcquire("s", "a", routing.Rank{}) {
 					given++
 				}
 			}
@@ -112,7 +112,7 @@
 		}
 		So(grants(time.Second), ShouldBeBetweenOrEqual, 9, 11)
 		time.Sleep(leaseFreshness - time.Second)
-		l.Take("s", "a", routing.Rank{})
+		l.TryAcquire("s", "a", routing.Rank{})
 		So(grants(1400*time.Millisecond), ShouldBeBetweenOrEqual, 2, 3)
 		time.Sleep(StaleLife)
 		So(grants(2*time.Second), ShouldEqual, 0)
--- a/internal/coldstart/schedules_test.go
+++ b/internal/coldstart/schedules_test.go
@@ -205,7 +205,7 @@
 	s.answer(p)
 	if s.random.IntN(8) == 0 {
 		// A request of the process itself, such as an item.
-		if engine := s.engines[s.random.IntN(len(s.engines))]; p.limiter.Take("service", engine, routing.Rank{}) {
+		if engine := s.engines[s.random.IntN(len(s.engines))]; p.limiter.TryAcquire("service", engine, routing.Rank{}) {
 			s.at(s.between(0, 200*time.Millisecond), p, func() { s.send(engine, s.now, forward.GrantedSendTime) })
 		}
 	}
