--- a/internal/batchrun/commit.go
+++ b/internal/batchrun/commit.go
@@ -44,12 +44,12 @@
 func (r *Runner) awaitDue(ctx context.Context, j *job) {
 	for ctx.Err() == nil {
 		r.mu.Lock()
-		rest := j.untilDue(r.now())
+		remaining := j.untilDue(r.now())
 		r.mu.Unlock()
-		if rest <= 0 {
+		if remaining <= 0 {
 			return
 		}
-		timer := time.NewTimer(rest)
+		timer := time.NewTimer(remaining)
 		select {
 		case <-j.commitWake:
 		case <-timer.C:
--- a/internal/batchrun/draining.go
+++ b/internal/batchrun/draining.go
@@ -75,7 +75,7 @@
 
 func (s *evacuatedRun) mustEnd() bool { return s.untilDeadline <= drainMargin }
 
-// mayStay reports whether the run is left alone until mustEnd: its stream is expected to end in time, or no job waits for its item.
+// mayStay reports whether the run continues until mustEnd: its stream is expected to end in time, or no job waits for its item.
 func (s *evacuatedRun) mayStay() bool { return s.unwanted || s.timeLeft < s.untilDeadline-drainMargin }
 
 // selectRunsToEnd returns all runs that must end now, and an equal share of the others per remaining interval, to spread the prefill load. Of the
--- a/internal/fleet/state.go
+++ b/internal/fleet/state.go
@@ -82,11 +82,11 @@
 	mu      sync.RWMutex
 	view    *View
 	changed chan struct{}
-	// initial are the evacuations before SetEvacuations: nil (unknown) after FollowEvacuations, otherwise none.
+	// initial are the evacuations before SetEvacuations: nil (unknown) after MarkEvacuationsUnknown, otherwise none.
 	initial *Evacuations
 }
 
-// NewState returns a State without routes and engines. No zone is evacuated unless FollowEvacuations is called.
+// NewState returns a State without routes, engines and evacuations. A process that reads evacuations calls MarkEvacuationsUnknown.
 func NewState() *State {
 	none := &Evacuations{}
 	return &State{view: &View{Evacuations: none}, initial: none, changed: make(chan struct{})}
--- a/internal/fleetnode/coldstart.go
+++ b/internal/fleetnode/coldstart.go
@@ -17,22 +17,22 @@
 	"github.com/covelink/covelink/internal/telemetry"
 )
 
-// newWarmth returns the record of which engines are cold, which follows the state from start to stop.
-func newWarmth(hooks fx.Lifecycle, group *tasks, state *fleet.State, registry *prometheus.Registry, logger log.Logger) *coldstart.Tracker {
-	warmth := coldstart.NewTracker(state, boottime.Now, telemetry.For(logger, telemetry.PartFleet))
-	registerGauge(registry, "cold_engines", "Engines that this process takes for cold.", warmth.Count)
+// newColdTracker returns the tracker of cold engines, which follows the state from start to stop.
+func newColdTracker(hooks fx.Lifecycle, group *tasks, state *fleet.State, registry *prometheus.Registry, logger log.Logger) *coldstart.Tracker {
+	tracker := coldstart.NewTracker(state, boottime.Now, telemetry.For(logger, telemetry.PartFleet))
+	registerGauge(registry, "cold_engines", "Engines that this process takes for cold.", tracker.Count)
 	hooks.Append(fx.Hook{OnStart: func(context.Context) error {
-		group.run(warmth.Run)
+		group.run(tracker.Run)
 		return nil
 	}})
-	return warmth
+	return tracker
 }
 
-// askGrants makes this process's requests to cold engines wait for grants from ask.
-func askGrants(forwarder *forward.Forwarder, warmth *coldstart.Tracker, observed *metrics, logger log.Logger,
+// setColdQuota makes requests of this process to cold engines wait for grants, which ask requests.
+func setColdQuota(forwarder *forward.Forwarder, tracker *coldstart.Tracker, observed *metrics, logger log.Logger,
 	ask func(ctx context.Context, request coldstart.Request) (coldstart.Reply, error)) {
 	forwarder.Quota = coldstart.NewClient(coldstart.ClientParams{
-		Tracker: warmth,
+		Tracker: tracker,
 		Ask:     ask,
 		Now:     boottime.Now,
 		Observe: observed.grantAnswered,
@@ -40,10 +40,10 @@
 	})
 }
 
-// askCoordinator makes a gateway ask the coordinating process for grants. The zero Reply says that nobody coordinates.
-func askCoordinator(forwarder *forward.Forwarder, warmth *coldstart.Tracker, calls *rpc.Client, watcher *election.Watcher, observed *metrics,
+// setRemoteColdQuota makes a gateway request grants from the coordinator. The zero Reply means that there is none.
+func setRemoteColdQuota(forwarder *forward.Forwarder, tracker *coldstart.Tracker, calls *rpc.Client, watcher *election.Watcher, observed *metrics,
 	logger log.Logger) {
-	askGrants(forwarder, warmth, observed, logger, func(ctx context.Context, request coldstart.Request) (coldstart.Reply, error) {
+	setColdQuota(forwarder, tracker, observed, logger, func(ctx context.Context, request coldstart.Request) (coldstart.Reply, error) {
 		address := watcher.Holder()
 		if address == "" {
 			return coldstart.Reply{}, nil
@@ -52,21 +52,21 @@
 	})
 }
 
-// newGrants returns the Limiter that gives grants while this process coordinates; requests of this process ask it directly.
-func newGrants(forwarder *forward.Forwarder, warmth *coldstart.Tracker, registry *prometheus.Registry, observed *metrics,
+// newColdLimiter returns the Limiter that issues grants while this process is the coordinator. Requests of this process use it directly.
+func newColdLimiter(forwarder *forward.Forwarder, tracker *coldstart.Tracker, registry *prometheus.Registry, observed *metrics,
 	logger log.Logger) *coldstart.Limiter {
-	keeper := coldstart.NewLimiter(coldstart.LimiterParams{
-		Rate: warmth.Rate,
-		// The hub is made later; start replaces this.
+	limiter := coldstart.NewLimiter(coldstart.LimiterParams{
+		Rate: tracker.Rate,
+		// Replaced by start, once the hub exists.
 		LeaseConfirmedAt: func() time.Time { return time.Time{} },
 		Now:              boottime.Now,
 		Logger:           telemetry.For(logger, telemetry.PartFleet),
 	})
-	registerGauge(registry, "cold_grants_waiting", "Requests of all processes that wait for a cold engine.", keeper.Waiting)
-	registerCount(registry, "cold_grants_total", "Sends to cold engines that this process has granted.", func() int64 { return keeper.Counts().Granted })
-	registerCount(registry, "cold_refusals_total", "Sends to cold engines that this process has refused.", func() int64 { return keeper.Counts().Refused })
-	askGrants(forwarder, warmth, observed, logger, func(ctx context.Context, request coldstart.Request) (coldstart.Reply, error) {
-		return keeper.Ask(ctx, request), nil
+	registerGauge(registry, "cold_grants_waiting", "Requests of all processes that wait for a cold engine.", limiter.Waiting)
+	registerCount(registry, "cold_grants_total", "Sends to cold engines that this process has granted.", func() int64 { return limiter.Counts().Granted })
+	registerCount(registry, "cold_refusals_total", "Sends to cold engines that this process has refused.", func() int64 { return limiter.Counts().Refused })
+	setColdQuota(forwarder, tracker, observed, logger, func(ctx context.Context, request coldstart.Request) (coldstart.Reply, error) {
+		return limiter.Ask(ctx, request), nil
 	})
-	return keeper
+	return limiter
 }
--- a/internal/fleetnode/coordinator.go
+++ b/internal/fleetnode/coordinator.go
@@ -40,11 +40,11 @@
 
 // coordinatorParts are those of a process that may coordinate.
 var coordinatorParts = fx.Options(
-	fx.Provide(newDesk, newRunner, newOrders, newDecommission, newConsensus, newDuties, newKeeper, newGrants),
+	fx.Provide(newDispatcher, newRunner, newOrders, newDecommission, newConsensus, newDuties, newQuarantineCoordinator, newColdLimiter),
 	fx.Invoke(runCoordinator),
 )
 
-func newDesk(registry *prometheus.Registry, state *fleet.State, logger log.Logger) *itemwork.Dispatcher {
+func newDispatcher(registry *prometheus.Registry, state *fleet.State, logger log.Logger) *itemwork.Dispatcher {
 	desk := itemwork.NewDispatcher(telemetry.For(logger, telemetry.PartBatch))
 	desk.Region = func(zone string) string { return state.View().Topology.Region(zone) }
 	registerGauge(registry, "workers", "Gateways that run batch items for this process.", desk.Workers)
@@ -52,17 +52,17 @@
 }
 
 func newRunner(config settings.Fleet, state *fleet.State, transport forward.Transport, forwarder *forward.Forwarder,
-	guard *quarantine.Guard, store metastore.Client, desk *itemwork.Dispatcher, warmth *coldstart.Tracker, grants *coldstart.Limiter, observed *metrics,
-	logger log.Logger) *batchrun.Runner {
+	guard *quarantine.Guard, store metastore.Client, dispatcher *itemwork.Dispatcher, tracker *coldstart.Tracker, limiter *coldstart.Limiter,
+	observed *metrics, logger log.Logger) *batchrun.Runner {
 	return batchrun.New(batchrun.Params{
 		State:        state,
 		Transport:    transport,
 		Forwarder:    forwarder,
 		Guard:        guard,
 		Store:        store,
-		Quota:        coldstart.LocalQuota{Tracker: warmth, Limiter: grants},
+		Quota:        coldstart.LocalQuota{Tracker: tracker, Limiter: limiter},
 		Zone:         config.Node.Zone,
-		Dispatcher:   desk,
+		Dispatcher:   dispatcher,
 		EvacuateTime: config.Topology.EvacuateTime,
 		Retention:    config.Timing.BatchRetention,
 		TextFolder:   config.Data.Folder,
@@ -98,26 +98,26 @@
 
 type coordinatorParams struct {
 	fx.In
-	Settings  settings.Fleet
-	Logger    log.Logger
-	State     *fleet.State
-	Store     metastore.Client
-	Outage    *metastore.Outage
-	Followers *metastore.Followers
-	Runner    *batchrun.Runner
-	Desk      *itemwork.Dispatcher
-	Orders    *weightorder.Manager
-	Leaving   *decommission.Manager
-	Clock     *fleettime.Consensus
-	Duties    *duties
-	Held      *quarantine.Coordinator
-	Zones     *zonestatus.Status
-	Warmth    *coldstart.Tracker
-	Grants    *coldstart.Limiter
-	Metrics   *metrics
-	Registry  *prometheus.Registry
-	Calls     *rpc.Client
-	Tasks     *tasks
+	Settings    settings.Fleet
+	Logger      log.Logger
+	State       *fleet.State
+	Store       metastore.Client
+	Outage      *metastore.Outage
+	Followers   *metastore.Followers
+	Runner      *batchrun.Runner
+	Dispatcher  *itemwork.Dispatcher
+	Orders      *weightorder.Manager
+	Leaving     *decommission.Manager
+	Clock       *fleettime.Consensus
+	Duties      *duties
+	Quarantine  *quarantine.Coordinator
+	Zones       *zonestatus.Status
+	ColdTracker *coldstart.Tracker
+	ColdLimiter *coldstart.Limiter
+	Metrics     *metrics
+	Registry    *prometheus.Registry
+	Calls       *rpc.Client
+	Tasks       *tasks
 }
 
 // coordinator campaigns for the lease, and serves gateways while it holds it.
@@ -174,15 +174,15 @@
 	registerHubMetrics(c.Registry, c.hub)
 	relay := c.newRelay(c.hub)
 	c.Zones.SetSource(c.zoneSource(c.hub))
-	c.Grants.LeaseConfirmedAt = func() time.Time { return c.hub.LastResponseAt(election.KindLeases) }
+	c.ColdLimiter.LeaseConfirmedAt = func() time.Time { return c.hub.LastResponseAt(election.KindLeases) }
 	c.server = rpc.NewServer(c.Logger)
 	storerelay.Register(c.server, c.hub)
 	batchrpc.Register(c.server, c.Runner, c)
-	itemwork.Register(c.server, c.Desk)
+	itemwork.Register(c.server, c.Dispatcher)
 	c.Duties.register(c.server)
-	c.Held.Leading = c.elector.Leading
-	quarantine.Register(c.server, c.Held)
-	coldstart.Register(c.server, c.Grants)
+	c.Quarantine.Leading = c.elector.Leading
+	quarantine.Register(c.server, c.Quarantine)
+	coldstart.Register(c.server, c.ColdLimiter)
 	go c.serve()
 	c.Tasks.run(c.Outage.Run)
 	c.Tasks.run(c.elector.Run)
@@ -201,7 +201,7 @@
 		ContentKey:  platform.GatewayEssence,
 		SameContent: platform.GatewayAlike,
 		Relayed:     platform.GatewayFollows,
-		Quarantine:  c.Held.Table,
+		Quarantine:  c.Quarantine.Table,
 		Lease:       election.KindLeases,
 		Candidates:  c.candidates.Addresses,
 		MaxDirect:   c.Settings.Coordinators.MaxDirect,
@@ -224,7 +224,7 @@
 			Poll: func(ctx context.Context, address string, request storerelay.PollRequest) (storerelay.PollReply, error) {
 				return storerelay.Poll(ctx, c.Calls, address, request)
 			},
-			Quarantine: c.Held.Table,
+			Quarantine: c.Quarantine.Table,
 			Lease:      election.KindLeases,
 			Logger:     logger,
 		},
@@ -290,7 +290,7 @@
 func (c *coordinator) lead(ctx context.Context, term election.Term) {
 	c.Metrics.leadingTerms.Inc()
 	c.State.Reset()
-	c.Warmth.Relist()
+	c.ColdTracker.Relist()
 	var leading sync.WaitGroup
 	leading.Go(func() { followFleet(ctx, c.Settings, c.Followers, c.State, c.Metrics, c.Logger) })
 	leading.Go(func() {
@@ -300,8 +300,8 @@
 	leading.Go(func() { c.Runner.Lead(ctx, term.Token) })
 	leading.Go(func() { c.Orders.Lead(ctx, term) })
 	leading.Go(func() { c.Leaving.Lead(ctx) })
-	leading.Go(func() { c.Held.Lead(ctx) })
-	leading.Go(func() { c.Grants.Lead(ctx) })
+	leading.Go(func() { c.Quarantine.Lead(ctx) })
+	leading.Go(func() { c.ColdLimiter.Lead(ctx) })
 	leading.Go(func() { c.Duties.lead(ctx, term) })
 	leading.Go(func() { c.shareWorkers(ctx) })
 	leading.Wait()
--- a/internal/fleetnode/gateway.go
+++ b/internal/fleetnode/gateway.go
@@ -30,7 +30,7 @@
 // gatewayParts are those of a process that takes callers' requests.
 var gatewayParts = fx.Options(
 	fx.Provide(newStoreRelay, newLeaseWatcher, newBatchClient, newWorker, newUsageClock, newMeter, func() *stopFlag { return &stopFlag{} }),
-	fx.Invoke(alwaysFollowFleet, runStoreRelay, tellCoordinator, shareQuarantine, askCoordinator, runWorker, meterRequests, runGateway),
+	fx.Invoke(alwaysFollowFleet, runStoreRelay, tellCoordinator, shareQuarantine, setRemoteColdQuota, runWorker, meterRequests, runGateway),
 )
 
 // alwaysFollowFleet keeps the state at what the store holds from start to stop.
--- a/internal/fleetnode/metrics.go
+++ b/internal/fleetnode/metrics.go
@@ -49,8 +49,8 @@
 	usageReports *prometheus.CounterVec
 	usageLost    prometheus.Counter
 	dutyCalls    *prometheus.CounterVec
-	// attemptsBroke counts the attempts whose connection broke, by what was found out about the engine.
-	attemptsBroke *prometheus.CounterVec
+	// attemptsDisconnected counts the attempts whose connection broke, by the evidence of an engine crash.
+	attemptsDisconnected *prometheus.CounterVec
 	// guarded counts decisions on requests under which engines have ended.
 	guarded *prometheus.CounterVec
 	// refused counts requests that no engine may run now, by reason.
@@ -81,7 +81,7 @@
 	m.usageReports = counter("usage_reports_total", "Windows of time whose use was reported, by whether that was in time.", "result")
 	m.usageLost = prometheus.NewCounter(prometheus.CounterOpts{Namespace: namespace, Name: "usage_requests_lost_total", Help: "Requests that were told after the counts of their window were fixed."})
 	m.dutyCalls = counter("duty_calls_total", "Calls to the deployment's platform, by duty and result.", "duty", "result")
-	m.attemptsBroke = counter("attempts_broken_total", "Attempts at engines whose connection broke, by whether the engine had ended.", "evidence")
+	m.attemptsDisconnected = counter("attempts_broken_total", "Attempts at engines whose connection broke, by whether the engine had ended.", "evidence")
 	m.guarded = counter("quarantine_decisions_total", "Decisions on requests under which engines have ended.", "decision")
 	m.refused = counter("requests_refused_total", "Callers' requests that were refused because they may run at no engine, by reason.", "reason")
 	m.coldAnswers = counter("cold_requests_total", "Attempts of requests that only cold engines could run, by what became of them; all but the granted ones were not sent.", "answer")
@@ -107,7 +107,7 @@
 		return 0
 	})
 	registry.MustRegister(m.requests, m.requestTime, m.engines, m.storeCalls, m.storeTime, m.itemAttempts, itemTime, m.handOvers, jobTime, m.textsRestored, m.eventsRestored, m.checkpoints, m.checkpointFailures, m.results,
-		commitTime, m.orders, orderTime, m.leadingTerms, m.configRefused, m.configVersion, m.usageReports, m.usageLost, m.dutyCalls, m.attemptsBroke, m.guarded, m.refused,
+		commitTime, m.orders, orderTime, m.leadingTerms, m.configRefused, m.configVersion, m.usageReports, m.usageLost, m.dutyCalls, m.attemptsDisconnected, m.guarded, m.refused,
 		m.coldAnswers,
 		newLinesDropped(lines))
 	return m
@@ -195,12 +195,12 @@
 	m.dutyCalls.WithLabelValues(name, resultOf(err)).Inc()
 }
 
-// attemptBroke counts an attempt whose connection broke.
-func (m *metrics) attemptBroke(evidence quarantine.Evidence) {
-	m.attemptsBroke.WithLabelValues(evidence.String()).Inc()
+// attemptDisconnected counts an attempt whose connection broke.
+func (m *metrics) attemptDisconnected(evidence quarantine.Evidence) {
+	m.attemptsDisconnected.WithLabelValues(evidence.String()).Inc()
 }
 
-// guardDecided counts a decision on a request under which engines have ended.
+// guardDecided counts a decision on a request that crashed engines.
 func (m *metrics) guardDecided(decision quarantine.Decision) {
 	m.guarded.WithLabelValues(string(decision)).Inc()
 }
--- a/internal/fleetnode/node.go
+++ b/internal/fleetnode/node.go
@@ -119,7 +119,7 @@
 		newGuard,
 		newForwarder,
 		newZoneStatus,
-		newWarmth,
+		newColdTracker,
 		newTasks,
 	),
 	fx.Invoke(serveMetrics, tellStoreCalls, tellSuspensions),
--- a/internal/fleetnode/quarantine.go
+++ b/internal/fleetnode/quarantine.go
@@ -15,7 +15,7 @@
 	"github.com/covelink/covelink/platform"
 )
 
-// newGuard returns what decides on requests under which engines have ended. Whom it asks for trials is set by the role.
+// newGuard returns the guard against requests that crash engines. The process's role sets RequestTrial.
 func newGuard(engines *platform.Engines, table *quarantine.Table, observed *metrics, registry *prometheus.Registry,
 	logger log.Logger) *quarantine.Guard {
 	logger = telemetry.For(logger, telemetry.PartQuarantine)
@@ -29,26 +29,26 @@
 	})
 	return quarantine.NewGuard(quarantine.GuardParams{
 		Table:    table,
-		Detector: quarantine.NewDetector(quarantine.DetectorParams{Prober: engines, Observe: observed.attemptBroke, Logger: logger}),
+		Detector: quarantine.NewDetector(quarantine.DetectorParams{Prober: engines, Observe: observed.attemptDisconnected, Logger: logger}),
 		Observe:  observed.guardDecided,
 		Logger:   logger,
 	})
 }
 
-// newKeeper returns what answers for the table of this process while it coordinates, and has its own guard ask that.
-func newKeeper(table *quarantine.Table, guard *quarantine.Guard, store metastore.Client, logger log.Logger) *quarantine.Coordinator {
-	keeper := quarantine.NewCoordinator(quarantine.CoordinatorParams{
+// newQuarantineCoordinator returns the coordinator of quarantined requests, from which the guard of this process requests its trials.
+func newQuarantineCoordinator(table *quarantine.Table, guard *quarantine.Guard, store metastore.Client, logger log.Logger) *quarantine.Coordinator {
+	coordinator := quarantine.NewCoordinator(quarantine.CoordinatorParams{
 		Table:  table,
 		Store:  store,
 		Logger: telemetry.For(logger, telemetry.PartQuarantine),
 	})
 	guard.RequestTrial = func(ctx context.Context, known quarantine.Record) (quarantine.TrialReply, error) {
-		return keeper.HandleTrial(ctx, known), nil
+		return coordinator.HandleTrial(ctx, known), nil
 	}
-	return keeper
+	return coordinator
 }
 
-// shareQuarantine tells the coordinating process what this gateway finds out, and has the gateway's guard ask it for trials.
+// shareQuarantine reports the records of this gateway to the coordinator, from which the gateway's guard requests its trials.
 func shareQuarantine(hooks fx.Lifecycle, group *tasks, table *quarantine.Table, guard *quarantine.Guard, calls *rpc.Client,
 	watcher *election.Watcher, logger log.Logger) {
 	guard.RequestTrial = func(ctx context.Context, known quarantine.Record) (quarantine.TrialReply, error) {
@@ -58,7 +58,7 @@
 		}
 		return quarantine.RequestTrial(ctx, calls, address, quarantine.TrialRequest{Known: known})
 	}
-	teller := quarantine.NewReporter(quarantine.ReporterParams{
+	reporter := quarantine.NewReporter(quarantine.ReporterParams{
 		Table:       table,
 		Coordinator: watcher.Term,
 		Send: func(ctx context.Context, address string, request quarantine.TellRequest) (quarantine.TellReply, error) {
@@ -67,7 +67,7 @@
 		Logger: telemetry.For(logger, telemetry.PartQuarantine),
 	})
 	hooks.Append(fx.Hook{OnStart: func(context.Context) error {
-		group.run(teller.Run)
+		group.run(reporter.Run)
 		return nil
 	}})
 }
--- a/internal/quarantine/calls.go
+++ b/internal/quarantine/calls.go
@@ -34,12 +34,12 @@
 }
 
 // Register registers the coordinator's rpc handlers with a server.
-func Register(server *rpc.Server, keeper *Coordinator) {
+func Register(server *rpc.Server, coordinator *Coordinator) {
 	rpc.Handle(server, func(_ context.Context, _ rpc.Peer, request TellRequest) (TellReply, error) {
-		return keeper.Receive(request), nil
+		return coordinator.Receive(request), nil
 	})
 	rpc.Handle(server, func(ctx context.Context, _ rpc.Peer, request TrialRequest) (TrialReply, error) {
-		return keeper.HandleTrial(ctx, request.Known), nil
+		return coordinator.HandleTrial(ctx, request.Known), nil
 	})
 }
 
--- a/internal/quarantine/coordinator.go
+++ b/internal/quarantine/coordinator.go
@@ -84,19 +84,19 @@
 }
 
 // Receive merges the records reported by a process.
-func (k *Coordinator) Receive(request TellRequest) TellReply {
-	k.Table.Merge(request.Records)
-	return TellReply{Leading: k.Leading()}
+func (c *Coordinator) Receive(request TellRequest) TellReply {
+	c.Table.Merge(request.Records)
+	return TellReply{Leading: c.Leading()}
 }
 
 // Lead loads and persists held requests until ctx ends, which is the end of the term.
-func (k *Coordinator) Lead(ctx context.Context) {
-	defer k.endTerm()
-	k.loadStored(ctx)
+func (c *Coordinator) Lead(ctx context.Context) {
+	defer c.endTerm()
+	c.loadStored(ctx)
 	for ctx.Err() == nil {
-		changed := k.Table.Changed()
-		if err := k.persist(ctx); err != nil && ctx.Err() == nil {
-			level.Info(k.Logger).Log("msg", "failed to persist held requests", "err", err)
+		changed := c.Table.Changed()
+		if err := c.persist(ctx); err != nil && ctx.Err() == nil {
+			level.Info(c.Logger).Log("msg", "failed to persist held requests", "err", err)
 			pause.For(ctx, storeRetryDelay)
 			continue
 		}
@@ -109,46 +109,46 @@
 }
 
 // loadStored merges the records of earlier terms, retrying until the store answers.
-func (k *Coordinator) loadStored(ctx context.Context) {
+func (c *Coordinator) loadStored(ctx context.Context) {
 	for ctx.Err() == nil {
-		err := k.asWriter(ctx, k.ensureLoaded)
+		err := c.asWriter(ctx, c.ensureLoaded)
 		if err == nil {
-			k.setReady(true)
+			c.setReady(true)
 			return
 		}
-		level.Info(k.Logger).Log("msg", "failed to load held requests", "err", err)
+		level.Info(c.Logger).Log("msg", "failed to load held requests", "err", err)
 		pause.For(ctx, storeRetryDelay)
 	}
 }
 
 // endTerm stops granting trials and discards the cached store content, so that the next term reads it again.
-func (k *Coordinator) endTerm() {
-	k.setReady(false)
-	k.writer <- struct{}{}
-	k.cell.Forget()
-	<-k.writer
+func (c *Coordinator) endTerm() {
+	c.setReady(false)
+	c.writer <- struct{}{}
+	c.cell.Forget()
+	<-c.writer
 }
 
-func (k *Coordinator) setReady(ready bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.ready = ready
+func (c *Coordinator) setReady(ready bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.ready = ready
 }
 
-func (k *Coordinator) canGrant() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.ready && k.Leading()
+func (c *Coordinator) canGrant() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.ready && c.Leading()
 }
 
 // asWriter calls do while no other writer is active.
-func (k *Coordinator) asWriter(ctx context.Context, do func(ctx context.Context) error) error {
+func (c *Coordinator) asWriter(ctx context.Context, do func(ctx context.Context) error) error {
 	select {
-	case k.writer <- struct{}{}:
+	case c.writer <- struct{}{}:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	defer func() { <-k.writer }()
+	defer func() { <-c.writer }()
 	return do(ctx)
 }
 
@@ -160,59 +160,59 @@
 
 // runningTrialWait returns how long the next trial has to wait for the outcome of the last one; zero if that is known. Trials run one at a
 // time, since of two concurrent ones each would be charged with a crash that the other caused. The caller must be the writer.
-func (k *Coordinator) runningTrialWait() time.Duration {
-	left := trialTimeout - k.Table.now().Sub(k.trial.grantedAt)
-	current := k.Table.Record(k.trial.record.Fingerprint)
-	if left <= 0 || current.Epoch != k.trial.record.Epoch || len(current.Engines) != len(k.trial.record.Engines) {
+func (c *Coordinator) runningTrialWait() time.Duration {
+	left := trialTimeout - c.Table.now().Sub(c.trial.grantedAt)
+	current := c.Table.Record(c.trial.record.Fingerprint)
+	if left <= 0 || current.Epoch != c.trial.record.Epoch || len(current.Engines) != len(c.trial.record.Engines) {
 		return 0
 	}
 	return min(left, trialRetryAfter)
 }
 
 // HandleTrial merges the caller's record, which may be newer, and then calls GrantTrial.
-func (k *Coordinator) HandleTrial(ctx context.Context, known Record) TrialReply {
-	k.Table.Merge([]Record{known})
-	return k.GrantTrial(ctx, known.Fingerprint)
+func (c *Coordinator) HandleTrial(ctx context.Context, known Record) TrialReply {
+	c.Table.Merge([]Record{known})
+	return c.GrantTrial(ctx, known.Fingerprint)
 }
 
 // GrantTrial decides whether a held request may run once.
-func (k *Coordinator) GrantTrial(ctx context.Context, fingerprint Fingerprint) TrialReply {
-	if !k.canGrant() {
+func (c *Coordinator) GrantTrial(ctx context.Context, fingerprint Fingerprint) TrialReply {
+	if !c.canGrant() {
 		return TrialReply{}
 	}
 	ctx, cancel := context.WithTimeout(ctx, grantTimeout)
 	defer cancel()
 	reply := TrialReply{Leading: true}
-	err := k.asWriter(ctx, func(ctx context.Context) error {
-		if err := k.ensureLoaded(ctx); err != nil {
+	err := c.asWriter(ctx, func(ctx context.Context) error {
+		if err := c.ensureLoaded(ctx); err != nil {
 			return err
 		}
-		status := k.Table.Status(fingerprint)
+		status := c.Table.Status(fingerprint)
 		if status.State != Held {
 			reply.Granted = true
 			return nil
 		}
-		if reply.Wait = max(status.Wait, k.runningTrialWait()); reply.Wait > 0 {
+		if reply.Wait = max(status.Wait, c.runningTrialWait()); reply.Wait > 0 {
 			return nil
 		}
-		if err := k.write(ctx, k.withTrial(fingerprint)); err != nil {
+		if err := c.write(ctx, c.withTrial(fingerprint)); err != nil {
 			return err
 		}
-		k.Table.RecordTrial(fingerprint)
-		k.trial = grantedTrial{record: k.Table.Record(fingerprint), grantedAt: k.Table.now()}
+		c.Table.RecordTrial(fingerprint)
+		c.trial = grantedTrial{record: c.Table.Record(fingerprint), grantedAt: c.Table.now()}
 		reply.Granted = true
 		return nil
 	})
 	if err != nil {
-		level.Info(k.Logger).Log("msg", "trial not granted", "fingerprint", fingerprint.Short(), "err", err)
+		level.Info(c.Logger).Log("msg", "trial not granted", "fingerprint", fingerprint.Short(), "err", err)
 		reply.Wait = unavailableRetryAfter
 	}
 	return reply
 }
 
 // withTrial returns the held records with one more trial of a request.
-func (k *Coordinator) withTrial(fingerprint Fingerprint) []storedRecord {
-	records := k.heldRecords()
+func (c *Coordinator) withTrial(fingerprint Fingerprint) []storedRecord {
+	records := c.heldRecords()
 	for i := range records {
 		if records[i].Fingerprint == fingerprint.String() {
 			records[i].Trials++
@@ -223,8 +223,8 @@
 }
 
 // heldRecords returns the held records in stored form, ordered by fingerprint; beyond maxStored the least recently updated are left out.
-func (k *Coordinator) heldRecords() []storedRecord {
-	records := slices.DeleteFunc(k.Table.List(), func(record Record) bool { return !record.held() })
+func (c *Coordinator) heldRecords() []storedRecord {
+	records := slices.DeleteFunc(c.Table.List(), func(record Record) bool { return !record.held() })
 	slices.SortFunc(records, func(a, b Record) int { return int(a.Idle - b.Idle) })
 	records = records[:min(len(records), maxStored)]
 	slices.SortFunc(records, func(a, b Record) int { return slices.Compare(a.Fingerprint[:], b.Fingerprint[:]) })
@@ -242,16 +242,16 @@
 }
 
 // persist writes the held records if they differ from the store's.
-func (k *Coordinator) persist(ctx context.Context) error {
-	return k.asWriter(ctx, func(ctx context.Context) error {
-		if err := k.ensureLoaded(ctx); err != nil {
+func (c *Coordinator) persist(ctx context.Context) error {
+	return c.asWriter(ctx, func(ctx context.Context) error {
+		if err := c.ensureLoaded(ctx); err != nil {
 			return err
 		}
-		records := k.heldRecords()
-		if slices.EqualFunc(records, k.written, storedRecord.sameExceptIdle) {
+		records := c.heldRecords()
+		if slices.EqualFunc(records, c.written, storedRecord.sameExceptIdle) {
 			return nil
 		}
-		return k.write(ctx, records)
+		return c.write(ctx, records)
 	})
 }
 
@@ -261,11 +261,11 @@
 }
 
 // ensureLoaded merges the stored records unless the store's content is known. The caller must be the writer.
-func (k *Coordinator) ensureLoaded(ctx context.Context) error {
-	if k.cell.Known() {
+func (c *Coordinator) ensureLoaded(ctx context.Context) error {
+	if c.cell.Known() {
 		return nil
 	}
-	content, err := k.cell.Read(ctx)
+	content, err := c.cell.Read(ctx)
 	if err != nil {
 		return err
 	}
@@ -274,11 +274,11 @@
 		err = json.Unmarshal(content, &spec)
 	}
 	if err != nil {
-		k.cell.Forget()
+		c.cell.Forget()
 		return fmt.Errorf("quarantine: decode stored records: %w", err)
 	}
-	k.written = spec.Records
-	k.Table.Merge(toRecords(spec.Records))
+	c.written = spec.Records
+	c.Table.Merge(toRecords(spec.Records))
 	return nil
 }
 
@@ -304,14 +304,14 @@
 
 // write stores records on the condition that the store is unchanged since the last read; after an error it must be read again. The caller
 // must be the writer.
-func (k *Coordinator) write(ctx context.Context, records []storedRecord) error {
+func (c *Coordinator) write(ctx context.Context, records []storedRecord) error {
 	content, err := json.Marshal(storedSpec{Records: records})
 	if err != nil {
 		return err
 	}
-	if err := k.cell.Write(ctx, content); err != nil {
+	if err := c.cell.Write(ctx, content); err != nil {
 		return err
 	}
-	k.written = records
+	c.written = records
 	return nil
 }
--- a/internal/quarantine/coordinator_test.go
+++ b/internal/quarantine/coordinator_test.go
@@ -25,15 +25,15 @@
 
 func lead(store metastore.Client) *term {
 	ctx, cancel := context.WithCancel(context.Background())
-	keeper := quarantine.NewCoordinator(quarantine.CoordinatorParams{
+	coordinator := quarantine.NewCoordinator(quarantine.CoordinatorParams{
 		Table:   quarantine.NewTable(time.Now),
 		Store:   store,
 		Leading: func() bool { return ctx.Err() == nil },
 		Logger:  log.NewNopLogger(),
 	})
 	var leading sync.WaitGroup
-	leading.Go(func() { keeper.Lead(ctx) })
-	return &term{Coordinator: keeper, end: func() { cancel(); leading.Wait() }}
+	leading.Go(func() { coordinator.Lead(ctx) })
+	return &term{Coordinator: coordinator, end: func() { cancel(); leading.Wait() }}
 }
 
 func (s *term) hold(of quarantine.Fingerprint) {
@@ -167,7 +167,7 @@
 		sent := make(map[election.Term][]quarantine.Record)
 		attempts := 0
 		table := quarantine.NewTable(time.Now)
-		teller := quarantine.NewReporter(quarantine.ReporterParams{
+		reporter := quarantine.NewReporter(quarantine.ReporterParams{
 			Table: table,
 			Coordinator: func() election.Term {
 				mu.Lock()
@@ -188,7 +188,7 @@
 		})
 		ctx, cancel := context.WithCancel(t.Context())
 		var running sync.WaitGroup
-		running.Go(func() { teller.Run(ctx) })
+		running.Go(func() { reporter.Run(ctx) })
 		time.Sleep(time.Second)
 		table.RecordCrash(fingerprint("found"), "engine-0")
 		table.Merge([]quarantine.Record{{Fingerprint: fingerprint("learnt"), Engines: []string{"engine-1"}}})
--- a/internal/quarantine/reporter.go
+++ b/internal/quarantine/reporter.go
@@ -45,47 +45,47 @@
 func NewReporter(params ReporterParams) *Reporter { return &Reporter{ReporterParams: params} }
 
 // Run sends records until ctx ends.
-func (t *Reporter) Run(ctx context.Context) {
+func (r *Reporter) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		term := t.Coordinator()
-		if term != t.reported {
-			t.cursor = Cursor{}
+		term := r.Coordinator()
+		if term != r.reported {
+			r.cursor = Cursor{}
 		}
-		changes, changed := t.Table.LocalSince(t.cursor)
+		changes, changed := r.Table.LocalSince(r.cursor)
 		if len(changes.Records) == 0 {
-			t.reported, t.cursor = term, changes.Cursor
+			r.reported, r.cursor = term, changes.Cursor
 			pause.Unless(ctx, changed, termPollInterval)
 			continue
 		}
-		if err := t.send(ctx, term, changes.Records); err != nil {
-			t.logFailure(term, len(changes.Records), err)
+		if err := r.send(ctx, term, changes.Records); err != nil {
+			r.logFailure(term, len(changes.Records), err)
 			pause.For(ctx, reportRetryDelay)
 			continue
 		}
-		t.reported, t.cursor, t.failing = term, changes.Cursor, false
+		r.reported, r.cursor, r.failing = term, changes.Cursor, false
 	}
 }
 
 // errNotLeading reports a receiver that is not the coordinator.
 var errNotLeading = errors.New("quarantine: receiver is not the coordinator")
 
-func (t *Reporter) send(ctx context.Context, term election.Term, records []Record) error {
+func (r *Reporter) send(ctx context.Context, term election.Term, records []Record) error {
 	if term.Address == "" {
 		return errNotLeading
 	}
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	reply, err := t.Send(ctx, term.Address, TellRequest{Records: records})
+	reply, err := r.Send(ctx, term.Address, TellRequest{Records: records})
 	if err == nil && !reply.Leading {
 		err = errNotLeading
 	}
 	return err
 }
 
-func (t *Reporter) logFailure(term election.Term, records int, err error) {
-	if t.failing {
+func (r *Reporter) logFailure(term election.Term, records int, err error) {
+	if r.failing {
 		return
 	}
-	t.failing = true
-	level.Info(t.Logger).Log("msg", "quarantine records not sent to coordinator", "coordinator", term.Address, "records", records, "err", err)
+	r.failing = true
+	level.Info(r.Logger).Log("msg", "quarantine records not sent to coordinator", "coordinator", term.Address, "records", records, "err", err)
 }
--- a/internal/storerelay/client_poll.go
+++ b/internal/storerelay/client_poll.go
@@ -122,12 +122,12 @@
 }
 
 // mergeQuarantine merges the new records of the hub's quarantine table.
-func (c *Client) mergeQuarantine(news quarantine.Changes) {
-	if c.Quarantine == nil || news.Cursor == (quarantine.Cursor{}) {
+func (c *Client) mergeQuarantine(changes quarantine.Changes) {
+	if c.Quarantine == nil || changes.Cursor == (quarantine.Cursor{}) {
 		return
 	}
-	c.Quarantine.Merge(news.Records)
-	c.quarantineCursor = news.Cursor
+	c.Quarantine.Merge(changes.Records)
+	c.quarantineCursor = changes.Cursor
 }
 
 // knownRevisions returns the revision of each followed kind; zero for a kind without a snapshot.
--- a/internal/storerelay/hub.go
+++ b/internal/storerelay/hub.go
@@ -275,11 +275,11 @@
 	if h.Quarantine == nil {
 		return quarantine.Changes{}, nil
 	}
-	news, changed := h.Quarantine.Since(known)
-	if news.Cursor == known {
+	changes, changed := h.Quarantine.Since(known)
+	if changes.Cursor == known {
 		return quarantine.Changes{}, changed
 	}
-	return news, changed
+	return changes, changed
 }
 
 // storeChanges returns the current changes of the requested kinds, and a channel that is closed on the next change; nil if waiting cannot
--- a/internal/storerelay/quarantine_test.go
+++ b/internal/storerelay/quarantine_test.go
@@ -21,7 +21,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
-				table, learnt := quarantine.NewTable(time.Now), quarantine.NewTable(time.Now)
+				table, received := quarantine.NewTable(time.Now), quarantine.NewTable(time.Now)
 				hub := storerelay.NewHub(storerelay.HubParams{Leading: func() bool { return leading }, Lease: leaseKind, Quarantine: table})
 				client := storerelay.NewClient(storerelay.ClientParams{
 					Direct: metastore.NewFollowers(metastoretest.New().Client()),
@@ -30,7 +30,7 @@
 					},
 					Coordinator: func() string { return "hub" },
 					Lease:       leaseKind,
-					Quarantine:  learnt,
+					Quarantine:  received,
 					Logger:      log.NewNopLogger(),
 				})
 				var running sync.WaitGroup
@@ -39,13 +39,13 @@
 				suspect := quarantine.FingerprintOf("", "POST", "h", "/", nil)
 				table.RecordCrash(suspect, "engine-0")
 				time.Sleep(500 * time.Millisecond)
-				if standing := learnt.Status(suspect).State; standing != quarantine.Suspect {
-					t.Errorf("standing 500 ms after the engine failure: got %v, want suspect", standing)
+				if state := received.Status(suspect).State; state != quarantine.Suspect {
+					t.Errorf("state 500 ms after the engine failure: got %v, want suspect", state)
 				}
 				table.Release(suspect)
 				time.Sleep(500 * time.Millisecond)
-				if standing := learnt.Status(suspect).State; standing != quarantine.Clear {
-					t.Errorf("standing 500 ms after the release: got %v, want clear", standing)
+				if state := received.Status(suspect).State; state != quarantine.Clear {
+					t.Errorf("state 500 ms after the release: got %v, want clear", state)
 				}
 				cancel()
 				running.Wait()
