--- a/internal/batchrun/evacuation_test.go
+++ b/internal/batchrun/evacuation_test.go
@@ -353,7 +353,7 @@
 		h.submitJob(newStep("job", 0, 1, 0, 7500))
 		started := worker.pollFor(1)
 		So(started, ShouldHaveLength, 1)
-		h.desk.Load().Report(itemwork.ReportRequest{Worker: worker.id, Term: worker.term, Reports: []itemwork.Report{{
+		h.dispatcher.Load().Report(itemwork.ReportRequest{Worker: worker.id, Term: worker.term, Reports: []itemwork.Report{{
 			Run: started[0].Run, Job: "job", Item: "job-0", Engine: "a",
 			End: itemwork.End{Verdict: itemwork.VerdictRefused, Withheld: true, Cause: "zone evacuated"},
 		}}})
--- a/internal/batchrun/harness_test.go
+++ b/internal/batchrun/harness_test.go
@@ -155,8 +155,8 @@
 	runner        *batchrun.Runner
 	stop          func()
 	maxEndedBytes int
-	// desk is nil if the runners execute all runs themselves.
-	desk         *itemwork.Dispatcher
+	// dispatcher is nil if the runners execute all runs themselves.
+	dispatcher   *itemwork.Dispatcher
 	evacuateTime time.Duration
 	// textFolder is the checkpoint directory; empty disables checkpoints.
 	textFolder string
@@ -193,7 +193,7 @@
 		Forwarder:     forwarder,
 		Store:         h.store.Client(),
 		MaxEndedBytes: h.maxEndedBytes,
-		Dispatcher:    h.desk,
+		Dispatcher:    h.dispatcher,
 		Zone:          h.zone,
 		Quota:         h.quota,
 		TextFolder:    h.textFolder,
--- a/internal/batchrun/paths_test.go
+++ b/internal/batchrun/paths_test.go
@@ -133,13 +133,13 @@
 	fakes *fakeEngines
 	sends *sends
 	// states holds the views of the coordinator and the workers, in this order.
-	states    []*fleet.State
-	forwarder *forward.Forwarder
-	runner    *batchrun.Runner
-	desk      *itemwork.Dispatcher
-	jobs      []batch.Job
-	lookups   int
-	running   sync.WaitGroup
+	states     []*fleet.State
+	forwarder  *forward.Forwarder
+	runner     *batchrun.Runner
+	dispatcher *itemwork.Dispatcher
+	jobs       []batch.Job
+	lookups    int
+	running    sync.WaitGroup
 }
 
 // addProcess adds a process with an empty view and returns its executor.
@@ -155,11 +155,11 @@
 
 func (h *pathHarness) start(ctx context.Context, topology fleet.Topology) {
 	coordinator := h.addProcess("coordinator", topology)
-	h.desk = itemwork.NewDispatcher(log.NewNopLogger())
-	h.desk.Region = topology.Region
+	h.dispatcher = itemwork.NewDispatcher(log.NewNopLogger())
+	h.dispatcher.Region = topology.Region
 	h.runner = batchrun.New(batchrun.Params{
 		State: coordinator.State, Transport: coordinator.Transport, Forwarder: coordinator.Forwarder,
-		Store: metastoretest.New().Client(), Dispatcher: h.desk, Zone: coordinatorZone, EvacuateTime: evacuateTime, Logger: log.NewNopLogger(),
+		Store: metastoretest.New().Client(), Dispatcher: h.dispatcher, Zone: coordinatorZone, EvacuateTime: evacuateTime, Logger: log.NewNopLogger(),
 	})
 	h.running.Go(func() { h.runner.Lead(ctx, 1) })
 	for i, zone := range []string{coordinatorZone, "zone-1"} {
@@ -169,7 +169,7 @@
 			Name: fmt.Sprintf("worker-%d", i+1), Zone: zone, Instance: "first", Executor: executor,
 			Coordinator: func() string { return "desk" },
 			Poll: func(ctx context.Context, _ string, request itemwork.PollRequest) (itemwork.PollReply, error) {
-				return h.desk.Poll(ctx, request), nil
+				return h.dispatcher.Poll(ctx, request), nil
 			},
 			Report: func(_ context.Context, _ string, request itemwork.ReportRequest) (itemwork.ReportReply, error) {
 				for _, report := range request.Reports {
@@ -179,7 +179,7 @@
 						h.sends.mu.Unlock()
 					}
 				}
-				return h.desk.Report(request), nil
+				return h.dispatcher.Report(request), nil
 			},
 			Draining: func() bool { return false },
 			Logger:   log.NewNopLogger(),
--- a/internal/batchrun/remote_test.go
+++ b/internal/batchrun/remote_test.go
@@ -23,8 +23,8 @@
 // workerHarness is a harness whose runners dispatch their runs to workers.
 type workerHarness struct {
 	*harness
-	desk atomic.Pointer[itemwork.Dispatcher]
-	// disconnected makes calls to the desk time out.
+	dispatcher atomic.Pointer[itemwork.Dispatcher]
+	// disconnected makes calls to the dispatcher time out.
 	disconnected atomic.Bool
 	// reports counts the reports sent by workers.
 	reports atomic.Int64
@@ -47,12 +47,12 @@
 	})
 }
 
-// startTerm starts a runner with a new desk that leads with the given token. The previous runner must have stopped.
+// startTerm starts a runner with a new dispatcher that leads with the given token. The previous runner must have stopped.
 func (h *workerHarness) startTerm(token int64) {
-	desk := itemwork.NewDispatcher(log.NewNopLogger())
-	desk.Region = func(zone string) string { return h.state.View().Topology.Region(zone) }
-	h.desk.Store(desk)
-	h.harness.desk = desk
+	dispatcher := itemwork.NewDispatcher(log.NewNopLogger())
+	dispatcher.Region = func(zone string) string { return h.state.View().Topology.Region(zone) }
+	h.dispatcher.Store(dispatcher)
+	h.harness.dispatcher = dispatcher
 	h.runner, h.stop = h.harness.startTerm(token)
 }
 
@@ -73,7 +73,7 @@
 				<-ctx.Done()
 				return itemwork.PollReply{}, ctx.Err()
 			}
-			return h.delayPoll(h.desk.Load().Poll(ctx, request)), nil
+			return h.delayPoll(h.dispatcher.Load().Poll(ctx, request)), nil
 		},
 		Report: func(ctx context.Context, _ string, request itemwork.ReportRequest) (itemwork.ReportReply, error) {
 			if h.disconnected.Load() {
@@ -81,7 +81,7 @@
 				return itemwork.ReportReply{}, ctx.Err()
 			}
 			h.reports.Add(int64(len(request.Reports)))
-			return h.desk.Load().Report(request), nil
+			return h.dispatcher.Load().Report(request), nil
 		},
 		Draining: func() bool { return false },
 		Logger:   log.NewNopLogger(),
@@ -112,17 +112,17 @@
 
 // endingQuota ends the term while a run is being placed.
 type endingQuota struct {
-	stop func()
-	desk *itemwork.Dispatcher
+	stop       func()
+	dispatcher *itemwork.Dispatcher
 }
 
 func (q endingQuota) Cold(*fleet.Engine) bool                    { return true }
 func (q endingQuota) Available(*fleet.Engine, routing.Rank) bool { return true }
 
-// Take returns once the desk has dropped its workers.
+// TryAcquire returns once the dispatcher has dropped its workers.
 func (q endingQuota) TryAcquire(*fleet.Engine, routing.Rank) bool {
 	go q.stop()
-	for q.desk.Workers() > 0 {
+	for q.dispatcher.Workers() > 0 {
 		runtime.Gosched()
 	}
 	return true
@@ -137,7 +137,7 @@
 		defer h.startWorker("one")()
 		var ended sync.WaitGroup
 		ended.Add(1)
-		ending.desk = h.desk.Load()
+		ending.dispatcher = h.dispatcher.Load()
 		ending.stop = func() {
 			h.stop()
 			ended.Done()
@@ -336,21 +336,21 @@
 
 // scriptedWorker is a worker whose calls the test makes.
 type scriptedWorker struct {
-	desk  *itemwork.Dispatcher
-	id    itemwork.WorkerID
-	term  int64
-	taken uint64
+	dispatcher *itemwork.Dispatcher
+	id         itemwork.WorkerID
+	term       int64
+	taken      uint64
 }
 
 func (h *workerHarness) newScriptedWorker() *scriptedWorker {
-	worker := &scriptedWorker{desk: h.desk.Load(), id: itemwork.WorkerID{Name: "hand", Instance: "first"}}
+	worker := &scriptedWorker{dispatcher: h.dispatcher.Load(), id: itemwork.WorkerID{Name: "hand", Instance: "first"}}
 	worker.poll()
 	return worker
 }
 
 // poll returns the new orders.
 func (h *scriptedWorker) poll() []itemwork.Order {
-	reply := h.desk.Poll(context.Background(), itemwork.PollRequest{Worker: h.id, Term: h.term, Taken: h.taken})
+	reply := h.dispatcher.Poll(context.Background(), itemwork.PollRequest{Worker: h.id, Term: h.term, Taken: h.taken})
 	h.term = reply.Term
 	var orders []itemwork.Order
 	for _, order := range reply.Orders {
@@ -382,7 +382,7 @@
 
 // sendReport reports a run with a text of one event, and returns the reply.
 func (h *scriptedWorker) sendReport(assignment *itemwork.Assignment, end itemwork.Verdict, judgement itemwork.Judgement) itemwork.ReportReply {
-	reply := h.desk.Report(itemwork.ReportRequest{Worker: h.id, Term: h.term, Reports: []itemwork.Report{{
+	reply := h.dispatcher.Report(itemwork.ReportRequest{Worker: h.id, Term: h.term, Reports: []itemwork.Report{{
 		Run:       assignment.Run,
 		Job:       assignment.Job,
 		Item:      assignment.Item,
--- a/internal/fleetnode/coordinator.go
+++ b/internal/fleetnode/coordinator.go
@@ -45,10 +45,10 @@
 )
 
 func newDispatcher(registry *prometheus.Registry, state *fleet.State, logger log.Logger) *itemwork.Dispatcher {
-	desk := itemwork.NewDispatcher(telemetry.For(logger, telemetry.PartBatch))
-	desk.Region = func(zone string) string { return state.View().Topology.Region(zone) }
-	registerGauge(registry, "workers", "Gateways that run batch items for this process.", desk.Workers)
-	return desk
+	dispatcher := itemwork.NewDispatcher(telemetry.For(logger, telemetry.PartBatch))
+	dispatcher.Region = func(zone string) string { return state.View().Topology.Region(zone) }
+	registerGauge(registry, "workers", "Gateways that run batch items for this process.", dispatcher.Workers)
+	return dispatcher
 }
 
 func newRunner(config settings.Fleet, state *fleet.State, transport forward.Transport, forwarder *forward.Forwarder,
--- a/internal/jobresidency/deployment_test.go
+++ b/internal/jobresidency/deployment_test.go
@@ -195,9 +195,9 @@
 	c := &coordinator{outage: metastore.NewOutage()}
 	store := metastore.Watched(inner, c.outage)
 	state := d.newState()
-	desk := itemwork.NewDispatcher(log.NewNopLogger())
-	desk.Region = topology.Region
-	c.runner = batchrun.New(batchrun.Params{State: state, Transport: d, Store: store, Zone: zone, Dispatcher: desk, Logger: log.NewNopLogger(),
+	dispatcher := itemwork.NewDispatcher(log.NewNopLogger())
+	dispatcher.Region = topology.Region
+	c.runner = batchrun.New(batchrun.Params{State: state, Transport: d, Store: store, Zone: zone, Dispatcher: dispatcher, Logger: log.NewNopLogger(),
 		Forwarder: forward.New(state, d, forward.NewPicker(time.Now), log.NewNopLogger())})
 	calls := rpc.NewClient(rpc.Peer{Name: name, Zone: zone}, d.network.dialFrom(zone, name))
 	c.elector = election.New(election.Params{
@@ -227,7 +227,7 @@
 	})
 	server := rpc.NewServer(log.NewNopLogger())
 	batchrpc.Register(server, c.runner, c)
-	itemwork.Register(server, desk)
+	itemwork.Register(server, dispatcher)
 	incoming := &listener{address: name, conns: make(chan net.Conn), closed: make(chan struct{})}
 	d.network.mu.Lock()
 	d.network.listeners[name] = incoming
