--- a/internal/batchrun/engine_record.go
+++ b/internal/batchrun/engine_record.go
@@ -159,7 +159,7 @@
 	case itemwork.VerdictRefused, itemwork.VerdictOutdated:
 		e.backoffUntil = now.Add(min(busyBackoff<<min(e.refusals, 5), maxBusyBackoff))
 		e.refusals++
-	case itemwork.VerdictGone:
+	case itemwork.VerdictMisdirected:
 		e.backoffUntil = now.Add(maxBackoff)
 	case itemwork.VerdictCanceled:
 	}
--- a/internal/itemwork/executor.go
+++ b/internal/itemwork/executor.go
@@ -159,7 +159,7 @@
 	defer answer.Body.Close()
 	switch {
 	case answer.Misdirected:
-		return VerdictGone, nil
+		return VerdictMisdirected, nil
 	case answer.NotRun:
 		return VerdictRefused, nil
 	case answer.Status == http.StatusUnprocessableEntity:
--- a/internal/itemwork/itemwork.go
+++ b/internal/itemwork/itemwork.go
@@ -84,8 +84,8 @@
 	VerdictBroken
 	// VerdictRefused: the engine refused the item, or the item was not sent.
 	VerdictRefused
-	// VerdictGone: the address belongs to another engine.
-	VerdictGone
+	// VerdictMisdirected: the address belongs to another engine.
+	VerdictMisdirected
 	// VerdictFailed: the engine answered with a server error.
 	VerdictFailed
 	// VerdictImpossible: the engine rejected the item as unprocessable; it is not retried.
