--- a/internal/coldstart/client.go
+++ b/internal/coldstart/client.go
@@ -48,8 +48,8 @@
 	AnswerRefused Answer = "refused"
 	// AnswerLate: the grant expired before it could be used; the request was not sent.
 	AnswerLate Answer = "late"
-	// AnswerSpared: the coordinator was not asked because of a recent refusal or failure, or because no time was left; the request was not sent.
-	AnswerSpared Answer = "spared"
+	// AnswerSkipped: the coordinator was not asked because of a recent refusal or failure, or because no time was left; the request was not sent.
+	AnswerSkipped Answer = "spared"
 	// AnswerFailed: no coordinator answered, or the caller stopped waiting; the request was not sent.
 	AnswerFailed Answer = "failed"
 )
@@ -96,7 +96,7 @@
 	key := suppressionKey{service: engines[0].Service, rank: rank}
 	request := Request{Service: key.service, Rank: rank, Wait: until.Sub(requested)}
 	if request.Wait < 0 || c.isSuppressed(key, requested) {
-		return nil, AnswerSpared
+		return nil, AnswerSkipped
 	}
 	byID := sample(engines)
 	for id := range byID {
--- a/internal/coldstart/limiter_test.go
+++ b/internal/coldstart/limiter_test.go
@@ -168,7 +168,7 @@
 			time.Sleep(30 * time.Millisecond)
 		}
 		So(asked, ShouldEqual, 2)
-		So(*answers, ShouldResemble, []Answer{AnswerRefused, AnswerSpared, AnswerSpared, AnswerSpared, AnswerRefused})
+		So(*answers, ShouldResemble, []Answer{AnswerRefused, AnswerSkipped, AnswerSkipped, AnswerSkipped, AnswerRefused})
 	})
 	for _, left := range []bool{false, true} {
 		name := "A request that is not answered in time is logged"
--- a/internal/coldstart/schedules_test.go
+++ b/internal/coldstart/schedules_test.go
@@ -38,7 +38,7 @@
 			for i := worker; i < count && result.fault == ""; i += workers {
 				s := newSchedule(*scheduleSeed + uint64(i))
 				s.play()
-				worst, bound := float64(s.worstSecond()), 1.5*s.rate+5
+				worst, bound := float64(s.peakRate()), 1.5*s.rate+5
 				result.sent += s.count()
 				result.most = max(result.most, worst/bound)
 				if worst > bound {
@@ -372,7 +372,7 @@
 	return count
 }
 
-func (s *schedule) worstSecond() (worst int) {
+func (s *schedule) peakRate() (worst int) {
 	for _, sends := range s.sends {
 		slices.SortFunc(sends, time.Time.Compare)
 		first := 0
