--- a/internal/itemwork/worker.go
+++ b/internal/itemwork/worker.go
@@ -168,7 +168,7 @@
 	started := boottime.Now()
 	reply, err := w.Poll(ctx, address, request)
 	if err == nil && reply.Leading {
-		w.noteContact(started, reply.Term, reply.Meeting)
+		w.recordContact(started, reply.Term, reply.Meeting)
 		w.updateAssignable(request, reply)
 		setLeaveBy(reply, started)
 	}
@@ -191,9 +191,9 @@
 	return WorkerID{Name: w.Name, Zone: w.Zone, Instance: w.Instance, Leaving: w.Draining() || evacuationsUnknown || !w.selected()}
 }
 
-// noteContact records that the coordinator of a term has answered a call. If the term or the registration has changed, everything is reported again
+// recordContact records that the coordinator of a term has answered a call. If the term or the registration has changed, everything is reported again
 // so that the coordinator can cancel unwanted runs: without that, reward calls of jobs that had ended meanwhile would continue.
-func (w *Worker) noteContact(started time.Time, term int64, registration uint64) {
+func (w *Worker) recordContact(started time.Time, term int64, registration uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if term < w.term {
--- a/internal/itemwork/worker_report.go
+++ b/internal/itemwork/worker_report.go
@@ -71,7 +71,7 @@
 	if !reply.Leading || reply.Term < request.Term {
 		return true, errReportsNotAccepted
 	}
-	w.noteContact(started, reply.Term, reply.Meeting)
+	w.recordContact(started, reply.Term, reply.Meeting)
 	if !w.acknowledge(request, reply, started) {
 		return true, nil
 	}
@@ -96,7 +96,7 @@
 	size := 0
 	for _, id := range w.runOrder {
 		run := w.runs[id]
-		if run == nil || !run.hasNews() {
+		if run == nil || !run.hasUpdates() {
 			continue
 		}
 		if !w.mayReport(address, run) {
--- a/internal/itemwork/worker_run.go
+++ b/internal/itemwork/worker_run.go
@@ -99,8 +99,8 @@
 // mayCallReward reports whether the run may make its reward call, or is making it.
 func (r *workerRun) mayCallReward() bool { return r.text.Whole && !r.finished() }
 
-// hasNews reports whether the run has updates that the coordinator has not accepted.
-func (r *workerRun) hasNews() bool {
+// hasUpdates reports whether the run has updates that the coordinator has not accepted.
+func (r *workerRun) hasUpdates() bool {
 	if r.finished() {
 		return r.endReported.IsZero()
 	}
