--- a/internal/coldstart/limiter_test.go
+++ b/internal/coldstart/limiter_test.go
@@ -17,19 +17,19 @@
 	"github.com/covelink/covelink/internal/routing"
 )
 
-// runLimiter runs a scenario with a leading limiter in virtual time. shown sets when the store last confirmed the lease.
-func runLimiter(t *testing.T, name string, rate float64, play func(l *Limiter, shown *time.Time)) {
+// runLimiter runs a scenario with a leading limiter in virtual time. confirmedAt is when the store last confirmed the lease.
+func runLimiter(t *testing.T, name string, rate float64, play func(l *Limiter, confirmedAt *time.Time)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		Convey(name, t, func() {
-			var shown time.Time
+			var confirmedAt time.Time
 			limiter := NewLimiter(LimiterParams{
 				Rate: func(string) float64 { return rate },
 				LeaseConfirmedAt: func() time.Time {
-					if shown.IsZero() {
+					if confirmedAt.IsZero() {
 						return boottime.Now()
 					}
-					return shown
+					return confirmedAt
 				},
 				Now:    boottime.Now,
 				Logger: log.NewNopLogger(),
@@ -38,7 +38,7 @@
 			var leading sync.WaitGroup
 			leading.Go(func() { limiter.Lead(ctx) })
 			synctest.Wait()
-			play(limiter, &shown)
+			play(limiter, &confirmedAt)
 			cancel()
 			leading.Wait()
 		})
@@ -66,10 +66,10 @@
 		So(l.TryAcquire("s", "a", routing.Rank{}), ShouldBeTrue)
 		var mu sync.Mutex
 		var order []int
-		var asking sync.WaitGroup
+		var callers sync.WaitGroup
 		began := boottime.Now()
 		for number, rank := range []int{2, 1, 1, 0} {
-			asking.Go(func() {
+			callers.Go(func() {
 				request := oneRequest(time.Second)
 				request.Rank = routing.Rank{Route: rank}
 				if l.Ask(ctx, request).Engine == "" {
@@ -82,7 +82,7 @@
 			synctest.Wait()
 		}
 		So(l.TryAcquire("s", "a", routing.Rank{Route: 1}), ShouldBeFalse)
-		asking.Wait()
+		callers.Wait()
 		So(order, ShouldResemble, []int{3, 1, 2, 0})
 		So(boottime.Since(began), ShouldBeBetween, 399*time.Millisecond, 410*time.Millisecond)
 	})
@@ -99,9 +99,9 @@
 		So(l.Waiting(), ShouldEqual, 0)
 		So(l.TryAcquire("s", "a", routing.Rank{}), ShouldBeTrue)
 	})
-	runLimiter(t, "A coordinator whose lease the store has not confirmed for a while reduces its grants, then stops them", 10, func(l *Limiter, shown *time.Time) {
+	runLimiter(t, "A coordinator whose lease the store has not confirmed for a while reduces its grants, then stops them", 10, func(l *Limiter, confirmedAt *time.Time) {
 		time.Sleep(termStartDelay)
-		*shown = boottime.Now()
+		*confirmedAt = boottime.Now()
 		grants := func(length time.Duration) (given int) {
 			for began := boottime.Now(); boottime.Since(began) < length; time.Sleep(10 * time.Millisecond) {
 				if l.TryAcquire("s", "a", routing.Rank{}) {
@@ -118,13 +118,13 @@
 		So(grants(2*time.Second), ShouldEqual, 0)
 	})
 	runLimiter(t, "The queue is bounded", 1000, func(l *Limiter, _ *time.Time) {
-		var asking sync.WaitGroup
+		var callers sync.WaitGroup
 		for range 2 * maxWaiting {
-			asking.Go(func() { l.Ask(ctx, oneRequest(10*time.Second)) })
+			callers.Go(func() { l.Ask(ctx, oneRequest(10*time.Second)) })
 		}
 		synctest.Wait()
 		So(l.Waiting(), ShouldEqual, maxWaiting)
-		asking.Wait()
+		callers.Wait()
 	})
 }
 
@@ -158,16 +158,16 @@
 		So(acquire(a, time.Second), ShouldBeNil)
 		So(*answers, ShouldResemble, []Answer{AnswerLate})
 	})
-	asked := 0
+	calls := 0
 	play("After a refusal no request is sent until RetryAfter has elapsed", func(context.Context, Request) (Reply, error) {
-		asked++
+		calls++
 		return Reply{Leading: true, RetryAfter: 100 * time.Millisecond}, nil
 	}, func(a *Client, answers *[]Answer) {
 		for range 5 {
 			So(acquire(a, time.Second), ShouldBeNil)
 			time.Sleep(30 * time.Millisecond)
 		}
-		So(asked, ShouldEqual, 2)
+		So(calls, ShouldEqual, 2)
 		So(*answers, ShouldResemble, []Answer{AnswerRefused, AnswerSkipped, AnswerSkipped, AnswerSkipped, AnswerRefused})
 	})
 	for _, left := range []bool{false, true} {
--- a/internal/coldstart/replay_test.go
+++ b/internal/coldstart/replay_test.go
@@ -52,13 +52,13 @@
 type replay struct {
 	mu      sync.Mutex
 	engines []*coldEngine
-	// crashes counts the crashes from overload, and worst is the maximum number of requests in a second to a cold engine.
-	crashes, worst int
+	// crashes counts the crashes from overload, and peakRate is the maximum number of requests in a second to a cold engine.
+	crashes, peakRate int
 }
 
 func (e *coldEngine) id() string { return fmt.Sprintf("engine-%d-%d", e.number, e.start) }
 
-func (e *coldEngine) rest() time.Duration { return max(0, replayColdTime-time.Since(e.since)) }
+func (e *coldEngine) coldRemaining() time.Duration { return max(0, replayColdTime-time.Since(e.since)) }
 
 // Send implements forward.Transport.
 func (r *replay) Send(_ context.Context, engine *fleet.Engine, _ *forward.Request, options forward.SendOptions) (*forward.Answer, error) {
@@ -79,7 +79,7 @@
 	case engine.ID != e.id():
 		return &forward.Answer{Status: http.StatusMisdirectedRequest, NotRun: true, Misdirected: true, Body: http.NoBody}, nil
 	}
-	if e.rest() > 0 && r.overloaded(e) {
+	if e.coldRemaining() > 0 && r.overloaded(e) {
 		r.crashes++
 		r.crash(e)
 		return nil, forward.ErrConnectionBroken
@@ -103,7 +103,7 @@
 func (r *replay) overloaded(e *coldEngine) bool {
 	now := time.Now()
 	e.arrived = append(slices.DeleteFunc(e.arrived, func(at time.Time) bool { return now.Sub(at) > time.Second }), now)
-	r.worst = max(r.worst, len(e.arrived))
+	r.peakRate = max(r.peakRate, len(e.arrived))
 	return float64(len(e.arrived)) > replayBound
 }
 
@@ -125,7 +125,7 @@
 	for _, e := range r.engines {
 		if e.up {
 			listed = append(listed, &fleet.Engine{ID: e.id(), Service: "s", Address: fmt.Sprint("engine-", e.number), Zone: "z", Slots: replaySlots,
-				Ready: true, ColdRemaining: e.rest()})
+				Ready: true, ColdRemaining: e.coldRemaining()})
 		}
 	}
 	return listed
@@ -141,7 +141,7 @@
 }
 
 // play runs gateways with or without the shared quota and returns the numbers of served and of all requests.
-func (r *replay) play(t *testing.T, gateways int, shared bool) (served, asked int64) {
+func (r *replay) play(t *testing.T, gateways int, shared bool) (served, requested int64) {
 	ctx, cancel := context.WithCancel(t.Context())
 	var running sync.WaitGroup
 	for number := range replayEngines {
@@ -202,11 +202,11 @@
 		for _, shared := range []bool{false, true} {
 			synctest.Test(t, func(t *testing.T) {
 				r := &replay{}
-				served, asked := r.play(t, gateways, shared)
+				served, requested := r.play(t, gateways, shared)
 				t.Logf("%d gateways, shared quota %v: %d of %d served, %d engine crashes, at most %d requests in a second to a cold engine, bound %.1f",
-					gateways, shared, served, asked, r.crashes, r.worst, replayBound)
-				if shared && (r.crashes > 0 || float64(r.worst) > replayBound) {
-					t.Errorf("%d gateways: %d engine crashes, up to %d requests in a second", gateways, r.crashes, r.worst)
+					gateways, shared, served, requested, r.crashes, r.peakRate, replayBound)
+				if shared && (r.crashes > 0 || float64(r.peakRate) > replayBound) {
+					t.Errorf("%d gateways: %d engine crashes, up to %d requests in a second", gateways, r.crashes, r.peakRate)
 				}
 				if !shared && r.crashes == 0 {
 					t.Errorf("%d gateways: the load exceeds no engine's bound, so the test is void", gateways)
--- a/internal/coldstart/schedules_test.go
+++ b/internal/coldstart/schedules_test.go
@@ -38,11 +38,11 @@
 			for i := worker; i < count && result.fault == ""; i += workers {
 				s := newSchedule(*scheduleSeed + uint64(i))
 				s.play()
-				worst, bound := float64(s.peakRate()), 1.5*s.rate+5
+				peak, bound := float64(s.peakRate()), 1.5*s.rate+5
 				result.sent += s.count()
-				result.most = max(result.most, worst/bound)
-				if worst > bound {
-					result.fault = fmt.Sprintf("seed %d: %.0f sends in one second, bound %.1f, rate %.1f, faults: %v", *scheduleSeed+uint64(i), worst, bound, s.rate, s.faults)
+				result.most = max(result.most, peak/bound)
+				if peak > bound {
+					result.fault = fmt.Sprintf("seed %d: %.0f sends in one second, bound %.1f, rate %.1f, faults: %v", *scheduleSeed+uint64(i), peak, bound, s.rate, s.faults)
 				}
 			}
 		})
@@ -92,9 +92,9 @@
 	// coordinator is the coordinator that a gateway calls, and limiter the limiter of a candidate.
 	coordinator *process
 	limiter     *Limiter
-	// cut is true while a candidate cannot reach the store.
-	cut     bool
-	shownAt time.Time
+	// partitioned is true while a candidate cannot reach the store.
+	partitioned bool
+	confirmedAt time.Time
 	// rounds is the number of the limiter's next round; rounds scheduled before it was woken are skipped.
 	rounds  int
 	pending map[*waitingRequest]func(grant)
@@ -167,10 +167,10 @@
 
 // lead makes a new candidate the coordinator.
 func (s *schedule) lead() {
-	p := &process{shownAt: s.now, pending: make(map[*waitingRequest]func(grant))}
+	p := &process{confirmedAt: s.now, pending: make(map[*waitingRequest]func(grant))}
 	p.limiter = NewLimiter(LimiterParams{
 		Rate:             func(string) float64 { return s.rate },
-		LeaseConfirmedAt: func() time.Time { return p.shownAt },
+		LeaseConfirmedAt: func() time.Time { return p.confirmedAt },
 		Now:              func() time.Time { return s.now },
 		Logger:           log.NewNopLogger(),
 	})
@@ -185,9 +185,9 @@
 	if s.now.Sub(s.started) > scheduleLength {
 		return
 	}
-	if !p.cut && s.leader == p {
-		p.shownAt = s.now
-	} else if !p.cut {
+	if !p.partitioned && s.leader == p {
+		p.confirmedAt = s.now
+	} else if !p.partitioned {
 		s.endTerm(p)
 		return
 	}
@@ -224,10 +224,10 @@
 }
 
 func (s *schedule) answer(p *process) {
-	for asked, reply := range p.pending {
+	for request, reply := range p.pending {
 		select {
-		case given := <-asked.answer:
-			delete(p.pending, asked)
+		case given := <-request.answer:
+			delete(p.pending, request)
 			reply(given)
 		default:
 		}
@@ -240,7 +240,7 @@
 		return
 	}
 	s.at(s.between(0, s.pause), gateway, func() { s.ask(gateway) })
-	asked, coordinator := s.now, gateway.coordinator
+	requestedAt, coordinator := s.now, gateway.coordinator
 	request := Request{Service: "service", Engines: slices.Clone(s.engines), Wait: s.between(0, 800*time.Millisecond), Rank: routing.Rank{Route: s.random.IntN(2)}}
 	s.deliver(coordinator, func() {
 		entry, refused := coordinator.limiter.enqueue(request)
@@ -249,7 +249,7 @@
 		}
 		coordinator.pending[entry] = func(given grant) {
 			reply := coordinator.limiter.reply(entry, given)
-			s.deliverAfter(max(0, s.stalled.Sub(s.now)), gateway, func() { s.granted(gateway, reply, asked) })
+			s.deliverAfter(max(0, s.stalled.Sub(s.now)), gateway, func() { s.granted(gateway, reply, requestedAt) })
 		}
 		s.serve(coordinator)
 	})
@@ -271,8 +271,8 @@
 }
 
 // granted handles a reply at the gateway, which may be suspended between any two steps.
-func (s *schedule) granted(gateway *process, reply Reply, asked time.Time) {
-	if reply.Engine == "" || reply.late(s.now.Sub(asked)) {
+func (s *schedule) granted(gateway *process, reply Reply, requestedAt time.Time) {
+	if reply.Engine == "" || reply.late(s.now.Sub(requestedAt)) {
 		return
 	}
 	granted := s.now
@@ -309,7 +309,7 @@
 		s.takeOver(old, s.between(electionTime, 4*time.Second))
 	case 2:
 		note("coordinator cut off from the store")
-		old.cut = true
+		old.partitioned = true
 		s.takeOver(old, s.between(electionTime, 4*time.Second))
 	case 3:
 		note("coordinator killed and restarted")
@@ -332,7 +332,7 @@
 	case 6:
 		// It sees the challenge, but its answer is lost, and it does not see that another candidate has the lease.
 		note("coordinator's answer to a challenge lost")
-		old.cut, old.shownAt = true, s.now
+		old.partitioned, old.confirmedAt = true, s.now
 		s.at(s.between(0, 100*time.Millisecond), nil, func() { s.changeCoordinator(old) })
 	case 7:
 		note("replies delayed")
@@ -343,13 +343,13 @@
 // takeOver lets another candidate lead if the coordinator still cannot reach the store by then.
 func (s *schedule) takeOver(old *process, after time.Duration) {
 	s.at(after, nil, func() {
-		if old.cut || old.wakesAt.After(s.now) {
+		if old.partitioned || old.wakesAt.After(s.now) {
 			s.changeCoordinator(old)
 		}
 	})
 }
 
-// changeCoordinator makes another candidate the coordinator; gateways learn of it one by one, some late.
+// changeCoordinator makes another candidate the coordinator; gateways receive the change one by one, some late.
 func (s *schedule) changeCoordinator(old *process) {
 	if s.leader != old {
 		return
@@ -372,7 +372,7 @@
 	return count
 }
 
-func (s *schedule) peakRate() (worst int) {
+func (s *schedule) peakRate() (peak int) {
 	for _, sends := range s.sends {
 		slices.SortFunc(sends, time.Time.Compare)
 		first := 0
@@ -380,8 +380,8 @@
 			for sends[i].Sub(sends[first]) > time.Second {
 				first++
 			}
-			worst = max(worst, i-first+1)
+			peak = max(peak, i-first+1)
 		}
 	}
-	return worst
+	return peak
 }
--- a/internal/coldstart/tracker.go
+++ b/internal/coldstart/tracker.go
@@ -48,8 +48,8 @@
 	state  *fleet.State
 	now    func() time.Time
 	logger log.Logger
-	// seen is the last processed view.
-	seen atomic.Pointer[fleet.View]
+	// lastView is the last processed view.
+	lastView atomic.Pointer[fleet.View]
 	// cold maps the IDs of cold engines to when each becomes warm. The map is replaced as a whole so that Cold takes no lock.
 	cold atomic.Pointer[map[string]time.Time]
 
@@ -103,7 +103,7 @@
 
 // Cold reports whether an engine is cold now.
 func (t *Tracker) Cold(engine *fleet.Engine) bool {
-	if t.state.View() != t.seen.Load() {
+	if t.state.View() != t.lastView.Load() {
 		t.observe()
 	}
 	until, ok := (*t.cold.Load())[engine.ID]
@@ -144,14 +144,14 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	view := t.state.View()
-	if view == t.seen.Load() {
+	if view == t.lastView.Load() {
 		return
 	}
 	now := t.now()
 	services := make(map[string]struct{})
 	restored := t.restored(view.Evacuations)
 	if !anyColdService(view.Routes) && len(t.engines) == 0 {
-		t.seen.Store(view)
+		t.lastView.Store(view)
 		return
 	}
 	for _, engine := range view.Engines.All() {
@@ -176,7 +176,7 @@
 		}
 	}
 	t.publish(now)
-	t.seen.Store(view)
+	t.lastView.Store(view)
 }
 
 // restored returns the zones whose evacuation ended since the last view, and stores the evacuated ones. The mutex must be held.
@@ -184,17 +184,17 @@
 	if evacuations == nil {
 		return nil
 	}
-	gone := make(map[string]struct{})
+	ended := make(map[string]struct{})
 	for zone := range t.evacuated {
 		if !evacuations.Contains(zone) {
-			gone[zone] = struct{}{}
+			ended[zone] = struct{}{}
 		}
 	}
 	t.evacuated = make(map[string]struct{})
 	for _, zone := range evacuations.Zones() {
 		t.evacuated[zone] = struct{}{}
 	}
-	return gone
+	return ended
 }
 
 // observeEngine updates an engine's record from its entry. The mutex must be held.
--- a/internal/coldstart/tracker_test.go
+++ b/internal/coldstart/tracker_test.go
@@ -24,8 +24,8 @@
 	return s
 }
 
-func listed(id string, rest time.Duration) *fleet.Engine {
-	return &fleet.Engine{ID: id, Service: "s", Zone: "z", Ready: true, ColdRemaining: rest}
+func listed(id string, remaining time.Duration) *fleet.Engine {
+	return &fleet.Engine{ID: id, Service: "s", Zone: "z", Ready: true, ColdRemaining: remaining}
 }
 
 // list sets the listed engines and returns whether each is cold.
--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -14,7 +14,7 @@
 
 // attempt sends the request to the engine of a decision and ends its in-flight count. A send under a grant must leave within GrantedSendTime of
 // the grant. engines is the number of engines permitted to run the request. again is true if another attempt may be made.
-func (j *job) attempt(ctx context.Context, chosen decision, engines int) (result Result, again bool) {
+func (j *job) attempt(ctx context.Context, chosen decision, engines int) (result Result, retry bool) {
 	engine := chosen.engine
 	_, triedBefore := j.tried[engine.ID]
 	j.tried[engine.ID] = struct{}{}
@@ -77,7 +77,7 @@
 	repeated bool
 	// engines is the number of engines permitted to run the request.
 	engines int
-	// canceled is true if the caller left or the grant expired; if nothing was sent, the attempt says nothing about the engine.
+	// canceled is true if the caller left or the grant expired; if nothing was sent, the attempt has no bearing on the engine's health.
 	canceled bool
 }
 
@@ -106,7 +106,7 @@
 		return Result{}, true
 	}
 	j.countSend()
-	// A lost response says nothing about the service's capacity.
+	// A lost response is no evidence of the service's capacity.
 	j.waiting.end(j.service, nil)
 	if attempt.broke && !j.Guard.ConnectionLost(j.request.ID, j.fingerprint(), engine) {
 		// Failover would take a request that crashes engines to the next engine.
--- a/internal/forward/decision.go
+++ b/internal/forward/decision.go
@@ -289,7 +289,7 @@
 
 // endRefused ends a send that an engine did not accept. It sets whether all engines have refused.
 func (j *job) endRefused(send refusedSend) {
-	// A refusal by a single engine says little about a service with many.
+	// A refusal by a single engine is weak evidence for a service with many.
 	send.exhausted = !send.unreachable && len(j.tried) >= 2 && len(j.tried) >= min(j.route.MaxAttempts, send.engines)
 	j.waiting.end(j.service, func(load *serviceLoad, now time.Time, _ int) bool {
 		return load.recordRefused(now, send)
--- a/internal/forward/forwarder.go
+++ b/internal/forward/forwarder.go
@@ -18,7 +18,7 @@
 	"github.com/covelink/covelink/internal/routing"
 )
 
-// Outcome says whether a request was executed.
+// Outcome states whether a request was executed.
 type Outcome int
 
 // The outcomes.
@@ -254,8 +254,8 @@
 		if next.engine == nil {
 			continue
 		}
-		result, again := j.attempt(ctx, next, len(permitted))
-		if !again {
+		result, retry := j.attempt(ctx, next, len(permitted))
+		if !retry {
 			return result
 		}
 		if j.mayHaveExecuted() && (j.noFailover || len(j.tried) >= j.route.MaxAttempts) {
--- a/internal/forward/picker.go
+++ b/internal/forward/picker.go
@@ -13,9 +13,9 @@
 	latencyWeight = 0.2
 	// defaultLatency is assumed for engines that have not responded yet.
 	defaultLatency = 30 * time.Millisecond
-	// firstBackoff and maxBackoff bound the backoff of an engine after consecutive failures.
-	firstBackoff = 100 * time.Millisecond
-	maxBackoff   = 3 * time.Second
+	// minBackoff and maxBackoff bound the backoff of an engine after consecutive failures.
+	minBackoff = 100 * time.Millisecond
+	maxBackoff = 3 * time.Second
 	// busyBackoff is the backoff of an engine that refused as full.
 	busyBackoff = 40 * time.Millisecond
 	// connectionIdleTimeout is how long after a response a connection is assumed open. It is below the transport's idle timeout of 8 s and the 10
@@ -120,7 +120,7 @@
 	VerdictFailed
 	// VerdictMisdirected means that the address belongs to another engine.
 	VerdictMisdirected
-	// VerdictCanceled means that the attempt says nothing about the engine.
+	// VerdictCanceled means that the attempt has no bearing on the engine's health.
 	VerdictCanceled
 )
 
@@ -143,7 +143,7 @@
 	case VerdictFailed:
 		record.failures++
 		record.connections = record.inFlight
-		record.backoffUntil = now.Add(min(firstBackoff<<min(record.failures, 5), maxBackoff))
+		record.backoffUntil = now.Add(min(minBackoff<<min(record.failures, 5), maxBackoff))
 	case VerdictMisdirected:
 		record.backoffUntil = now.Add(maxBackoff)
 	case VerdictCanceled:
--- a/internal/forward/transport.go
+++ b/internal/forward/transport.go
@@ -1,5 +1,5 @@
 // Package forward sends an opaque request to an engine of its service, and retries on another engine where the route permits, within the route's
-// attempts and the caller's deadline. The result tells whether the request was executed.
+// attempts and the caller's deadline. The result states whether the request was executed.
 package forward
 
 import (
--- a/internal/itemwork/calls.go
+++ b/internal/itemwork/calls.go
@@ -61,7 +61,7 @@
 	// Term is the term that the earlier reports were accepted in.
 	Term    int64
 	Reports []Report
-	// Meeting is that of the last reply of the term. It tells whether the dispatcher still holds the earlier reports.
+	// Meeting is that of the last reply of the term. It shows whether the dispatcher still holds the earlier reports.
 	Meeting uint64
 }
 
--- a/internal/itemwork/dispatcher.go
+++ b/internal/itemwork/dispatcher.go
@@ -114,7 +114,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, worker := range d.workers {
-		// Polls must return now: a worker that kept waiting would learn of the next term only after that term has stopped adopting runs.
+		// Polls must return now: a worker that kept waiting would receive the next term only after that term has stopped adopting runs.
 		if len(worker.orders) == 0 {
 			close(worker.ready)
 		}
@@ -319,7 +319,7 @@
 	}
 	wait := pollWait
 	if request.Term != term || first {
-		// Answers at once so that the worker learns of the new term or registration.
+		// Answers at once so that the worker receives the new term or registration.
 		wait = 0
 	}
 	disconnected := awaitOrders(ctx, ready, wait)
--- a/internal/retrybudget/retrybudget.go
+++ b/internal/retrybudget/retrybudget.go
@@ -76,13 +76,13 @@
 }
 
 func (b *Budget) refill(counts *counts, now time.Time) {
-	back := int(now.Sub(counts.refilledAt) / b.params.RefillTime)
-	if back >= counts.reserveUsed {
+	refilled := int(now.Sub(counts.refilledAt) / b.params.RefillTime)
+	if refilled >= counts.reserveUsed {
 		counts.reserveUsed, counts.refilledAt = 0, now
 		return
 	}
-	counts.reserveUsed -= back
-	counts.refilledAt = counts.refilledAt.Add(time.Duration(back) * b.params.RefillTime)
+	counts.reserveUsed -= refilled
+	counts.refilledAt = counts.refilledAt.Add(time.Duration(refilled) * b.params.RefillTime)
 }
 
 // Return returns a retry to the budget that was granted and not sent.
--- a/internal/retrybudget/retrybudget_test.go
+++ b/internal/retrybudget/retrybudget_test.go
@@ -12,9 +12,9 @@
 	return New(Params{Share: 0.2, Window: 10 * time.Second, Reserve: 2, RefillTime: 20 * time.Second, Now: func() time.Time { return c.now }}), c
 }
 
-func take(budget *Budget, asked int) int {
+func take(budget *Budget, requested int) int {
 	granted := 0
-	for range asked {
+	for range requested {
 		if budget.Take("s") {
 			granted++
 		}
@@ -23,13 +23,13 @@
 }
 
 func TestShare(t *testing.T) {
-	for _, c := range []struct{ first, asked, granted int }{{0, 10, 2}, {5, 10, 3}, {20, 10, 6}, {100, 1000, 22}, {100, 7, 7}} {
+	for _, c := range []struct{ first, requested, granted int }{{0, 10, 2}, {5, 10, 3}, {20, 10, 6}, {100, 1000, 22}, {100, 7, 7}} {
 		budget, _ := newBudget()
 		for range c.first {
 			budget.RecordFirst("s")
 		}
-		if granted := take(budget, c.asked); granted != c.granted {
-			t.Errorf("%d first sends: %d of %d retries granted, want %d", c.first, granted, c.asked, c.granted)
+		if granted := take(budget, c.requested); granted != c.granted {
+			t.Errorf("%d first sends: %d of %d retries granted, want %d", c.first, granted, c.requested, c.granted)
 		}
 	}
 }
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -9,7 +9,7 @@
 	"github.com/covelink/covelink/internal/tenants"
 )
 
-// Kind tells how the requests of a route may be executed.
+// Kind defines how the requests of a route may be executed.
 type Kind int
 
 // The kinds of routes.
--- a/internal/storerelay/client_poll.go
+++ b/internal/storerelay/client_poll.go
@@ -53,7 +53,7 @@
 			targets.recordFailure(boottime.Since(started))
 		}
 		if !mode.relay || err == nil {
-			// A relay that does not answer says nothing about the next one: poll that without a pause.
+			// The failure of one relay does not imply that of the next: poll that without a pause.
 			pause.For(ctx, retryPause)
 		}
 	}
--- a/internal/storerelay/storerelay.go
+++ b/internal/storerelay/storerelay.go
@@ -68,7 +68,7 @@
 // directReadMargin is the time that a client needs to read missed changes from the store.
 const directReadMargin = 450 * time.Millisecond
 
-// FailoverTimeoutWithin returns the FailoverTimeout with which a client learns of a store change within limit even if the coordinator is lost
+// FailoverTimeoutWithin returns the FailoverTimeout with which a client receives a store change within limit even if the coordinator is lost
 // at the same moment. It is at least DefaultFailoverTimeout.
 func FailoverTimeoutWithin(limit time.Duration) time.Duration {
 	return max(DefaultFailoverTimeout, limit-pollWait-pollMargin-directReadMargin)
--- a/internal/storerelay/storerelay_test.go
+++ b/internal/storerelay/storerelay_test.go
@@ -344,8 +344,8 @@
 
 func TestContentForPollers(t *testing.T) {
 	Convey("A change outside the content for pollers is not sent; a later one inside it is, with the whole object", t, func() {
-		essence := func(_ string, object metastore.Object) string { return string(object.Spec[:1]) }
-		hub := storerelay.NewHub(storerelay.HubParams{Leading: func() bool { return true }, ContentKey: essence})
+		contentKey := func(_ string, object metastore.Object) string { return string(object.Spec[:1]) }
+		hub := storerelay.NewHub(storerelay.HubParams{Leading: func() bool { return true }, ContentKey: contentKey})
 		confirm := func(revision metastore.Revision, objects ...metastore.Object) {
 			hub.Confirm(kind, metastore.SnapshotOf(revision, objects...))
 		}
--- a/internal/storerelay/target_selector.go
+++ b/internal/storerelay/target_selector.go
@@ -10,7 +10,7 @@
 )
 
 // coordinatorAttemptInterval makes every third attempt of a client without a hub go to the last known coordinator. The others go to
-// candidates, which learn of a takeover first; an unreachable coordinator costs the full poll timeout.
+// candidates, which detect a takeover first; an unreachable coordinator costs the full poll timeout.
 const coordinatorAttemptInterval = 3
 
 // fastFailureLimit separates a busy process, which answers faster, from an unreachable or frozen one.
@@ -27,7 +27,7 @@
 	// redirected is set once the coordinator has redirected the client. relays are the peers in the client's rendezvous order.
 	redirected bool
 	relays     []string
-	// relayIndex is the relay in use; a client stays with a relay that answers. relayAttempts counts that relay's answers without usable data.
+	// relayIndex is the relay in use; a client keeps a relay that answers. relayAttempts counts that relay's answers without usable data.
 	relayIndex, relayAttempts int
 	// relaysExhausted is set after every relay has failed. The coordinator is then polled without permission to redirect, until the peers
 	// change.
