--- a/internal/batchrun/checkpoint.go
+++ b/internal/batchrun/checkpoint.go
@@ -36,7 +36,7 @@
 		"took", r.now().Sub(started).Round(time.Microsecond), "err", err)
 	log, err := textlog.Open(r.TextFolder, r.TextLimit)
 	if err != nil {
-		level.Error(r.Logger).Log("msg", "cannot open checkpoint log; unfinished texts are not written to disk", "err", err)
+		level.Error(r.Logger).Log("msg", "failed to open checkpoint log; unfinished texts are not written to disk", "err", err)
 		return nil
 	}
 	return log
@@ -80,7 +80,7 @@
 func (r *Runner) recordCheckpoint(texts int, err error) (done bool) {
 	r.Observer.Checkpointed(texts, err)
 	if err != nil && !errors.Is(err, textlog.ErrFull) {
-		level.Warn(r.Logger).Log("msg", "cannot write checkpoint of unfinished texts", "texts", texts, "err", err)
+		level.Warn(r.Logger).Log("msg", "failed to write checkpoint of unfinished texts", "texts", texts, "err", err)
 	}
 	return err == nil
 }
--- a/internal/batchrun/commit.go
+++ b/internal/batchrun/commit.go
@@ -121,6 +121,6 @@
 	r.recordEnd(j)
 	r.mu.Unlock()
 	if err := j.stored.MarkSealed(ctx); err != nil {
-		level.Info(r.Logger).Log("msg", "cannot mark job as sealed in store", "request", j.ID, "err", err)
+		level.Info(r.Logger).Log("msg", "failed to mark job as sealed in store", "request", j.ID, "err", err)
 	}
 }
--- a/internal/batchrun/term.go
+++ b/internal/batchrun/term.go
@@ -89,7 +89,7 @@
 		if err == nil {
 			return opened, true
 		}
-		level.Warn(r.Logger).Log("msg", "cannot read open jobs from store; retrying", "err", err)
+		level.Warn(r.Logger).Log("msg", "failed to read open jobs from store; retrying", "err", err)
 		pause.For(ctx, readRetryDelay)
 	}
 	return batchlog.Opened{}, false
--- a/internal/storerelay/relayed_kind.go
+++ b/internal/storerelay/relayed_kind.go
@@ -149,7 +149,7 @@
 	if span != k.packedChangeSpan {
 		packed, err := pack(change.Objects)
 		if err != nil {
-			level.Error(h.Logger).Log("msg", "cannot compress change; sending objects uncompressed", "kind", change.Kind, "objects", len(change.Objects), "err", err)
+			level.Error(h.Logger).Log("msg", "failed to compress change; sending objects uncompressed", "kind", change.Kind, "objects", len(change.Objects), "err", err)
 			return change
 		}
 		k.packedChange, k.packedChangeSpan = packed, span
@@ -171,7 +171,7 @@
 		}
 		packed, err := pack(objects)
 		if err != nil {
-			level.Error(h.Logger).Log("msg", "cannot compress full list; sending objects uncompressed", "kind", kind, "objects", len(objects), "err", err)
+			level.Error(h.Logger).Log("msg", "failed to compress full list; sending objects uncompressed", "kind", kind, "objects", len(objects), "err", err)
 			change.Objects = objects
 			return change
 		}
