--- a/internal/batchrun/groups.go
+++ b/internal/batchrun/groups.go
@@ -29,7 +29,7 @@
 	return slices.ContainsFunc(g.items, func(it *item) bool { return it.carriedOver })
 }
 
-// assumeCarriedOver marks the groups that may have been carried over: they come first, and are at most half of the groups that the trainer wants.
+// assumeCarriedOver marks the groups that may have been carried over: they come first, and are at most half of the groups that the trainer requested.
 func (j *job) assumeCarriedOver() {
 	for _, group := range j.groups[:min((j.Desired+1)/2, len(j.groups))] {
 		for _, it := range group.items {
--- a/internal/batchrun/policy_test.go
+++ b/internal/batchrun/policy_test.go
@@ -22,7 +22,7 @@
 	h.state.SetEngineList(list)
 }
 
-// newStep returns a job of single-item groups with the given estimated lengths, of which the trainer wants the desired number.
+// newStep returns a job of single-item groups with the given estimated lengths, of which the trainer requests the desired number.
 func newStep(id string, step, minVersion int64, desired int, expected ...int) batch.Job {
 	job := newJob(id, len(expected))
 	job.Step, job.MinVersion, job.Desired = step, minVersion, desired
@@ -38,7 +38,7 @@
 	So(h.runner.Submit(context.Background(), job), ShouldBeNil)
 }
 
-// endAfterRenewal ends a job with a long and a short group, of which the trainer wants one, once the long one was restarted with newer weights.
+// endAfterRenewal ends a job with a long and a short group, of which the trainer requests one, once the long one was restarted with newer weights.
 func (h *harness) endAfterRenewal() {
 	h.engines.events = 150
 	h.listPool(map[string]int64{"a": 1})
--- a/internal/quarantine/coordinator.go
+++ b/internal/quarantine/coordinator.go
@@ -46,7 +46,7 @@
 }
 
 // Coordinator merges the records reported by other processes, grants trials, and persists held requests in the store. A trial is written
-// there before it is granted, with a conditional write: of two processes that both believe that they lead, only one can grant it.
+// there before it is granted, with a conditional write: of two processes that both act as the leader, only one can grant it.
 type Coordinator struct {
 	CoordinatorParams
 	// writer serializes writers; it also guards cell, written and trial.
--- a/internal/quarantine/doc.go
+++ b/internal/quarantine/doc.go
@@ -1,4 +1,4 @@
-// Package quarantine holds back requests that crash the engines running them, across all gateways and retries of the caller.
+// Package quarantine isolates and refuses requests that crash the engines running them, across all gateways and retries of the caller.
 //
 // A request is identified by its Fingerprint. When an attempt's connection breaks, a Detector probes the engine; if it exited, the crash is
 // recorded in the Table for every request that it ran. A successful run clears a request. A request with holdThreshold crashes is held: it
--- a/internal/quarantine/record.go
+++ b/internal/quarantine/record.go
@@ -24,7 +24,7 @@
 // heldTTL.
 var trialBackoff = [...]time.Duration{2 * time.Second, 30 * time.Second}
 
-// Record is what is known of one request.
+// Record holds the crashes and trials of one request.
 type Record struct {
 	Fingerprint Fingerprint
 	// Epoch counts how often the request was cleared.
