--- a/internal/claims/bench_test.go
+++ b/internal/claims/bench_test.go
@@ -8,7 +8,7 @@
 	"github.com/covelink/covelink/internal/gateway"
 )
 
-// BenchmarkClaim claims and finishes at three keepers over loopback, all in one process.
+// BenchmarkClaim measures Claim and Finish with three keepers over loopback in one process.
 func BenchmarkClaim(b *testing.B) {
 	for name, disks := range map[string]bool{"memory": false, "disk": true} {
 		for _, parallelism := range []int{1, 16} {
@@ -36,7 +36,7 @@
 	request.Key = request.ID
 	result, err := manager.Claim(context.Background(), request)
 	if err != nil || result.State != gateway.ClaimGranted {
-		b.Error("not granted", err)
+		b.Error("claim not granted:", err)
 		return
 	}
 	if err := manager.Finish(context.Background(), request, completedWith("text")); err != nil {
--- a/internal/claims/ask.go
+++ b/internal/claims/broadcast.go
@@ -7,15 +7,15 @@
 	"github.com/covelink/covelink/internal/cluster"
 )
 
-// answerOf is one node's answer.
+// answerOf is the reply or the error of one node.
 type answerOf[T any] struct {
 	node  cluster.Node
 	value T
 	err   error
 }
 
-// askAll asks every node at once and yields the answers as they come. The asking goes on after the loop has ended, as
-// long as ctx allows.
+// askAll calls every node concurrently and yields the replies as they arrive. Calls still in flight when the caller
+// leaves the loop continue until ctx ends.
 func askAll[T any](ctx context.Context, nodes []cluster.Node, ask func(context.Context, cluster.Node) (T, error)) iter.Seq[answerOf[T]] {
 	answers := make(chan answerOf[T], len(nodes))
 	for _, node := range nodes {
--- a/internal/claims/claim.go
+++ b/internal/claims/claim.go
@@ -19,31 +19,30 @@
 	retryAfterUnreachable = 2 * time.Second
 	retryAfterAbstaining  = 5 * time.Second
 	retryAfterContended   = time.Second
-	// releaseWait bounds the wait for a release, which goes on in the background.
+	// releaseWait bounds how long Finish waits for a release; the release continues in the background.
 	releaseWait    = 300 * time.Millisecond
 	noteFirstDelay = 50 * time.Millisecond
 	noteMaxDelay   = 2 * time.Second
-	// noteAttemptTimeout bounds one message to one keeper.
+	// noteAttemptTimeout bounds a single call to a keeper.
 	noteAttemptTimeout = 2 * time.Second
 )
 
-// errNotNoted is the answer of a keeper that could not take a statement in.
-var errNotNoted = errors.New("claims: a keeper could not note the outcome")
+// errNotNoted reports a keeper that did not record an update or a release.
+var errNotNoted = errors.New("claims: keeper did not record the update")
 
-// attempt is one claim of this gateway.
+// attempt is a claim made by this gateway that is not finished.
 type attempt struct {
 	key         Key
 	id          string
 	fingerprint uint64
-	// nodes are the keepers that may have heard of the claim.
+	// nodes are the keepers that may have received the claim.
 	nodes []cluster.Node
-	// home are the keepers that granted it or were asked to; empty until granted.
+	// home is the keeper set whose majority granted the claim; empty until then.
 	home []cluster.Node
 }
 
-// Claim implements gateway.Claims. It returns as soon as a majority has granted, another claim is known to be finished,
-// or the rest of the answers cannot change anything. Every error is a *v1.Error with outcome not_run: unreachable or
-// abstaining majority, full table, or a zone where the pool's data may not be.
+// Claim implements gateway.Claims. It returns as soon as the replies received so far decide the result. Every error is
+// a *v1.Error with outcome not_run: majority unreachable or abstaining, table full, or zone not permitted for the pool.
 func (m *Manager) Claim(ctx context.Context, request gateway.ClaimRequest) (gateway.ClaimResult, error) {
 	started := time.Now()
 	result, err := m.claim(ctx, request)
@@ -59,7 +58,7 @@
 	}
 	keepers := home(view, key.Pool, m.params.Seeds)
 	if len(keepers) == 0 {
-		return gateway.ClaimResult{}, v1.NotRun(v1.CodeUnavailable, retryAfterUnreachable, "no node keeps claims for the pool")
+		return gateway.ClaimResult{}, v1.NotRun(v1.CodeUnavailable, retryAfterUnreachable, "the pool has no claim keepers")
 	}
 	a := &attempt{key: key, id: request.ID, fingerprint: request.Fingerprint}
 	if !m.track(a) {
@@ -72,21 +71,22 @@
 	return m.conclude(ctx, a, votes)
 }
 
-// usable reports whether a home that keepers named may hold the pool's claims.
+// usable reports whether a keeper set returned by keepers is non-empty, of valid size and entirely in permitted zones.
 func usable(view *cluster.View, pool string, members []cluster.Node) bool {
 	forbidden := func(node cluster.Node) bool { return !view.Permitted(pool, node.Zone) }
 	return len(members) > 0 && len(members) <= maxKeepers && !slices.ContainsFunc(members, forbidden)
 }
 
-// ask collects answers until the result stands. When keepers name another home, it returns that of the most.
+// ask sends the claim to the keepers and counts their replies until the result is decided, the claim window ends or ctx
+// is done. It also returns the keeper set that most mismatch replies named, or nil.
 func (m *Manager) ask(ctx context.Context, a *attempt, keepers []cluster.Node, revision uint64) (*tally, []cluster.Node) {
 	m.addNodes(a, keepers)
 	message := claimMessage{Key: a.key, ID: a.id, Fingerprint: a.fingerprint, Members: names(keepers), Revision: revision}
-	asking, cancel := context.WithTimeout(m.ctx, claimWindow)
+	callCtx, cancel := context.WithTimeout(m.ctx, claimWindow)
 	answers := make(chan answerOf[claimReply], len(keepers))
 	started := m.spawn(func() {
 		defer cancel()
-		for answer := range askAll(asking, keepers, m.claimer(message)) {
+		for answer := range askAll(callCtx, keepers, m.claimer(message)) {
 			answers <- answer
 		}
 	})
@@ -94,14 +94,14 @@
 		cancel()
 	}
 	votes := newTally(len(keepers), m.guards)
-	homes := newPoll()
+	sets := newPoll()
 	window := time.NewTimer(claimWindow)
 	defer window.Stop()
 	for votes.result() == resultOpen {
 		select {
 		case answer := <-answers:
 			votes.add(answer.value, answer.err != nil)
-			homes.add(answer.value.Home)
+			sets.add(answer.value.Home)
 		case <-ctx.Done():
 			votes.end()
 		case <-window.C:
@@ -111,7 +111,7 @@
 	if votes.result() == resultGranted {
 		m.setHome(a, keepers)
 	}
-	return votes, homes.winner()
+	return votes, sets.winner()
 }
 
 func (m *Manager) claimer(message claimMessage) func(context.Context, cluster.Node) (claimReply, error) {
@@ -123,7 +123,8 @@
 	}
 }
 
-// conclude turns the votes into the gateway's answer. A claim that is not granted is released in the background.
+// conclude converts the votes to the result of Claim. If another claim holds the key, it releases this one in the
+// background.
 func (m *Manager) conclude(ctx context.Context, a *attempt, votes *tally) (gateway.ClaimResult, error) {
 	outcome := votes.result()
 	if outcome == resultGranted {
@@ -134,31 +135,31 @@
 		m.spawn(func() { m.releaseEverywhere(m.ctx, a) })
 		return votes.existing(), nil
 	}
-	// The gateway now calls Finish with not_run, which releases.
+	// After an error the gateway calls Finish with not_run, which releases the claim.
 	return gateway.ClaimResult{}, refusal(ctx, votes)
 }
 
-// refusal explains why a claim got no majority.
+// refusal returns the error for a claim that was not granted by a majority.
 func refusal(ctx context.Context, votes *tally) error {
 	switch {
 	case ctx.Err() != nil:
-		return v1.NotRun(v1.CodeDeadlineExceeded, retryAfterContended, "the request ended before it was claimed")
+		return v1.NotRun(v1.CodeDeadlineExceeded, retryAfterContended, "the request was canceled or timed out before its claim was granted")
 	case votes.refusals[verdictFull] > 0:
-		return v1.NotRun(v1.CodeOverloaded, retryAfterAbstaining, "the table of claims is full")
+		return v1.NotRun(v1.CodeOverloaded, retryAfterAbstaining, "the claim table of a keeper is full")
 	case votes.refusals[verdictForbidden] > 0:
-		return v1.NotRun(v1.CodeUnavailable, retryAfterUnreachable, "a keeper of claims may not hold the pool's data")
+		return v1.NotRun(v1.CodeUnavailable, retryAfterUnreachable, "the pool is not permitted in the zone of a claim keeper")
 	case votes.refusals[verdictAbstains] > 0:
-		return v1.NotRun(v1.CodeUnavailable, retryAfterAbstaining, "too many keepers of claims abstain after a start or a change")
+		return v1.NotRun(v1.CodeUnavailable, retryAfterAbstaining, "too many claim keepers abstain after a restart or a change of the keeper set")
 	case len(votes.holders) > 0:
 		wait := retryAfterContended + rand.N(retryAfterContended)
-		return v1.NotRun(v1.CodeUnavailable, wait, "several requests with this key met")
+		return v1.NotRun(v1.CodeUnavailable, wait, "concurrent requests with this key conflict")
 	}
-	return v1.NotRun(v1.CodeUnavailable, retryAfterUnreachable, "no majority of the keepers of claims can be reached")
+	return v1.NotRun(v1.CodeUnavailable, retryAfterUnreachable, "cannot reach a majority of the claim keepers")
 }
 
-// Finish implements gateway.Claims. It returns once a majority of the keepers has noted the outcome; the others are told
-// in the background. A release waits for a moment only, since nothing but a repeated request depends on it. A claim that
-// this Manager has not taken, or has finished, is left alone.
+// Finish implements gateway.Claims. It returns once a majority of the keepers has recorded the outcome; the remaining
+// keepers are updated in the background. The wait for a release is bounded by releaseWait. Finish does nothing for a
+// claim that this Manager did not make or has already finished.
 func (m *Manager) Finish(ctx context.Context, request gateway.ClaimRequest, stored gateway.StoredOutcome) error {
 	a := m.forget(request.ID)
 	if a == nil {
@@ -174,7 +175,7 @@
 	return m.tellMajority(ctx, a.home, m.teller(learnMessage{Key: a.key, Record: record}))
 }
 
-// releaseSoon releases the claim and does not hold up a refusal when keepers cannot be reached.
+// releaseSoon releases the claim. It waits at most releaseWait, so that unreachable keepers do not delay a refusal.
 func (m *Manager) releaseSoon(ctx context.Context, a *attempt) error {
 	ctx, cancel := context.WithTimeout(ctx, releaseWait)
 	defer cancel()
@@ -204,8 +205,8 @@
 	}
 }
 
-// renew states again that the running claims run, so that their records outlive the retention time and reach keepers
-// that have lost them.
+// renew resends the running claims to their keepers, so that the records do not expire and keepers that lost them
+// regain them.
 func (m *Manager) renew() {
 	m.mu.Lock()
 	running := make([]attempt, 0, len(m.attempts))
@@ -224,17 +225,17 @@
 	})
 }
 
-// tellMajority tells every node, again after failures, and returns once a majority has noted it. What is left goes on
-// in the background.
-func (m *Manager) tellMajority(ctx context.Context, nodes []cluster.Node, tell func(context.Context, cluster.Node) (noteReply, error)) error {
+// tellMajority sends an update to every node with retries and returns once a majority has recorded it. Remaining calls
+// continue in the background for up to noteWindow.
+func (m *Manager) tellMajority(ctx context.Context, nodes []cluster.Node, call func(context.Context, cluster.Node) (noteReply, error)) error {
 	if len(nodes) == 0 {
 		return nil
 	}
 	answers := make(chan error, len(nodes))
-	telling, cancel := context.WithTimeout(m.ctx, noteWindow)
+	callCtx, cancel := context.WithTimeout(m.ctx, noteWindow)
 	started := m.spawn(func() {
 		defer cancel()
-		for answer := range askAll(telling, nodes, persistently(tell)) {
+		for answer := range askAll(callCtx, nodes, persistently(call)) {
 			answers <- answer.err
 		}
 	})
@@ -245,18 +246,18 @@
 	return awaitMajority(ctx, answers, len(nodes))
 }
 
-// awaitMajority returns nil when more than half of the answers are good.
+// awaitMajority returns nil once more than half of total succeeded, or the last error once that is impossible.
 func awaitMajority(ctx context.Context, answers <-chan error, total int) error {
-	noted, failed := 0, 0
+	succeeded, failed := 0, 0
 	var last error
-	for noted <= total/2 {
+	for succeeded <= total/2 {
 		if failed*2 >= total {
 			return last
 		}
 		select {
 		case err := <-answers:
 			if err == nil {
-				noted++
+				succeeded++
 				continue
 			}
 			failed++
@@ -268,16 +269,16 @@
 	return nil
 }
 
-// persistently repeats tell until the node has noted it, may not, or ctx ends.
-func persistently(tell func(context.Context, cluster.Node) (noteReply, error)) func(context.Context, cluster.Node) (noteReply, error) {
+// persistently retries call with backoff until the node records the update, answers Forbidden, or ctx ends.
+func persistently(call func(context.Context, cluster.Node) (noteReply, error)) func(context.Context, cluster.Node) (noteReply, error) {
 	return func(ctx context.Context, node cluster.Node) (noteReply, error) {
-		delays := backoff.NewExponentialBackOff()
-		delays.InitialInterval = noteFirstDelay
-		delays.MaxInterval = noteMaxDelay
+		policy := backoff.NewExponentialBackOff()
+		policy.InitialInterval = noteFirstDelay
+		policy.MaxInterval = noteMaxDelay
 		return backoff.Retry(ctx, func() (noteReply, error) {
-			once, cancel := context.WithTimeout(ctx, noteAttemptTimeout)
+			callCtx, cancel := context.WithTimeout(ctx, noteAttemptTimeout)
 			defer cancel()
-			reply, err := tell(once, node)
+			reply, err := call(callCtx, node)
 			switch {
 			case err != nil:
 				return reply, err
@@ -287,11 +288,11 @@
 				return reply, errNotNoted
 			}
 			return reply, nil
-		}, backoff.WithBackOff(delays), backoff.WithMaxElapsedTime(0))
+		}, backoff.WithBackOff(policy), backoff.WithMaxElapsedTime(0))
 	}
 }
 
-// track remembers the attempt until forget. It reports false once the Manager is closed.
+// track registers an unfinished attempt. It reports false once the Manager is closed.
 func (m *Manager) track(a *attempt) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -302,7 +303,7 @@
 	return true
 }
 
-// forget returns a copy of the attempt and forgets it; nil if there is none.
+// forget removes the attempt and returns it, or nil if there is none.
 func (m *Manager) forget(id string) *attempt {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -330,7 +331,7 @@
 	a.home = nodes
 }
 
-// poll counts the homes that keepers name.
+// poll counts the keeper sets named by mismatch replies.
 type poll struct {
 	homes  map[string][]cluster.Node
 	counts map[string]int
@@ -349,7 +350,7 @@
 	p.counts[label]++
 }
 
-// winner returns the home that was named most; nil if there was none.
+// winner returns the keeper set named most often, or nil. Ties are broken by label.
 func (p *poll) winner() []cluster.Node {
 	best := ""
 	for label, count := range p.counts {
--- a/internal/claims/kit_test.go
+++ b/internal/claims/cluster_test.go
@@ -24,7 +24,7 @@
 	waitLimit     = 20 * time.Second
 )
 
-// fakeClock is moved by hand.
+// fakeClock is a clock that tests advance.
 type fakeClock struct {
 	mu  sync.Mutex
 	now time.Time
@@ -44,7 +44,7 @@
 	c.now = c.now.Add(by)
 }
 
-// viewOf returns a view in which the pool's data may be in the zones, all of one region.
+// viewOf returns a view in which the pool is permitted in the zones, all in one region.
 func viewOf(zones ...string) *cluster.View {
 	view := &cluster.View{
 		Revision: 1,
@@ -58,7 +58,7 @@
 	return view
 }
 
-// links cuts connections between nodes, by address.
+// links injects network faults by destination address.
 type links struct {
 	mu    sync.Mutex
 	cut   map[string]bool
@@ -70,13 +70,13 @@
 	return &links{cut: make(map[string]bool), muted: make(map[string]bool), conns: make(map[string][]net.Conn)}
 }
 
-// dialer returns a dial that fails to addresses that are cut.
+// dialer returns a dial function that fails for isolated addresses.
 func (l *links) dialer() rpc.DialFunc {
 	return func(ctx context.Context, address string) (net.Conn, error) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		if l.cut[address] {
-			return nil, fmt.Errorf("%s is cut off", address)
+			return nil, fmt.Errorf("%s is isolated", address)
 		}
 		conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
 		if err != nil {
@@ -87,7 +87,7 @@
 	}
 }
 
-// mutableConn loses what it receives while its address is muted; what is sent arrives.
+// mutableConn discards received data while its address is muted; sent data is delivered.
 type mutableConn struct {
 	net.Conn
 	links   *links
@@ -141,7 +141,7 @@
 	stop    func()
 }
 
-// testCluster is a set of nodes over loopback.
+// testCluster is a set of nodes connected over loopback.
 type testCluster struct {
 	t       testing.TB
 	clock   *fakeClock
@@ -151,7 +151,7 @@
 	bound   []net.Listener
 }
 
-// newCluster starts one node in each of the zones; disks tells which have a data folder.
+// newCluster starts one node per zone; disks gives each a data folder.
 func newCluster(t testing.TB, zones []string, disks bool) *testCluster {
 	c := &testCluster{t: t, clock: newClock(), links: newLinks()}
 	for index, zone := range zones {
@@ -180,7 +180,7 @@
 	return c
 }
 
-// start runs the node at index, on the address that it had.
+// start starts the node at index on its address.
 func (c *testCluster) start(index int) {
 	m := c.members[index]
 	server := rpc.NewServer(log.NewNopLogger())
@@ -212,15 +212,15 @@
 	})
 }
 
-// restart ends the node and starts it again.
+// restart stops the node at index and starts it again.
 func (c *testCluster) restart(index int) {
 	c.members[index].stop()
 	c.start(index)
 }
 
-// open waits until every keeper grants.
+// open waits until no keeper abstains.
 func (c *testCluster) open() *testCluster {
-	c.eventually("every keeper grants", func() bool {
+	c.eventually("no keeper abstains", func() bool {
 		for _, m := range c.members {
 			if !m.manager.keeper.isOpen() {
 				return false
@@ -234,7 +234,7 @@
 func (c *testCluster) eventually(what string, condition func() bool) {
 	c.t.Helper()
 	if !eventually(condition) {
-		c.t.Fatalf("never: %s", what)
+		c.t.Fatalf("condition not met before the deadline: %s", what)
 	}
 }
 
--- a/internal/claims/gateway_test.go
+++ b/internal/claims/gateway_test.go
@@ -26,7 +26,7 @@
 
 const testToken = "application-token"
 
-// counter is a dispatcher that counts what it runs.
+// counter is a dispatcher that counts its runs and returns a fixed outcome.
 type counter struct {
 	runs    atomic.Int64
 	outcome v1.Outcome
@@ -41,7 +41,7 @@
 		Segments: []v1.Segment{{Version: 7, Engine: "engine-1", Tokens: 2}}}
 }
 
-// gatewayAt puts a gateway before the member at index and returns an OpenAI client of it that does not retry.
+// gatewayAt starts a gateway for the member at index and returns an OpenAI client without retries.
 func (c *testCluster) gatewayAt(index int, dispatcher *counter) openai.Client {
 	m := c.members[index]
 	m.source.Update(func(*cluster.View) *cluster.View {
@@ -76,7 +76,7 @@
 	return answer.Choices[0].Text, nil
 }
 
-// outcomeOf returns the outcome that an error states to a caller.
+// outcomeOf returns the outcome in the body of an OpenAI API error; empty if there is none.
 func outcomeOf(err error) v1.Outcome {
 	var refused *openai.Error
 	if !errors.As(err, &refused) {
@@ -98,11 +98,11 @@
 		for index := range threeZones {
 			clients = append(clients, c.gatewayAt(index, dispatcher))
 		}
-		Convey("run the request at most once when it comes to all at once, and then answer alike", func() {
-			var asking sync.WaitGroup
+		Convey("run a request sent to all concurrently at most once, and then return the same answer", func() {
+			var requests sync.WaitGroup
 			failures := make(chan error, len(clients))
 			for _, client := range clients {
-				asking.Go(func() {
+				requests.Go(func() {
 					if text, err := relay(client); err != nil {
 						failures <- err
 					} else if text != "the minutes" {
@@ -110,12 +110,12 @@
 					}
 				})
 			}
-			asking.Wait()
+			requests.Wait()
 			close(failures)
 			for err := range failures {
 				So([]v1.Outcome{v1.OutcomeUnknown, v1.OutcomeNotRun}, ShouldContain, outcomeOf(err))
 			}
-			c.eventually("a retry gets the answer", func() bool {
+			c.eventually("a retry returns the answer", func() bool {
 				text, err := relay(clients[2])
 				return err == nil && text == "the minutes"
 			})
@@ -129,7 +129,7 @@
 			}
 			So(dispatcher.runs.Load(), ShouldEqual, 1)
 		})
-		Convey("say not run, and write nothing to an engine, when the keepers cannot be reached", func() {
+		Convey("return not_run without dispatching when a majority of the keepers is unreachable", func() {
 			c.links.isolate(c.seeds[1].Address)
 			c.links.isolate(c.seeds[2].Address)
 			_, err := relay(clients[0])
--- a/internal/claims/guards.go
+++ b/internal/claims/guards.go
@@ -1,18 +1,18 @@
 package claims
 
-// guards switches single rules off. Only tests do so, to show that their checker notices what each rule prevents.
+// guards disables single safety rules. Only tests set it, to verify that the checker detects the resulting violation.
 type guards struct {
-	// halfIsMajority takes n/2 keepers for a majority.
+	// halfIsMajority lets n/2 keepers count as a majority.
 	halfIsMajority bool
-	// noTombstones lets a late message revive a released claim.
+	// noTombstones lets a delayed message restore a released claim.
 	noTombstones bool
-	// noAbstaining lets a keeper grant that has forgotten what it granted.
+	// noAbstaining lets a keeper grant although it may have lost earlier grants.
 	noAbstaining bool
-	// noHomeHistory lets a keeper grant right after its set of keepers has changed.
+	// noHomeHistory lets a keeper grant immediately after the keeper set changed.
 	noHomeHistory bool
 }
 
-// allGuards has every rule in force.
+// allGuards enforces every rule.
 var allGuards = guards{}
 
 // majority returns the number of keepers that must grant among n.
--- a/internal/claims/keeper.go
+++ b/internal/claims/keeper.go
@@ -8,11 +8,12 @@
 	"github.com/covelink/covelink/internal/cluster"
 )
 
-// homeMargin is added to the retention time before a former home is forgotten: nodes that have not heard of a
-// revision may go on granting for a lease length.
+// homeMargin extends how long former keeper sets are retained: a node that has not received a revision may continue to
+// grant for one lease length.
 const homeMargin = time.Minute
 
-// keeper answers claims from one Register. It grants only what is safe given its view, its past and its file.
+// keeper serves claims from one Register and persists them. It grants only when its view, its keeper set history and its
+// table allow it.
 type keeper struct {
 	self   cluster.Node
 	source cluster.Source
@@ -27,15 +28,15 @@
 	history  homeHistory
 	store    *store // nil without a data folder
 	started  time.Time
-	// opened tells that the table is complete: it holds every claim that this keeper has granted within the retention time.
+	// opened is set once the table holds every claim that this keeper has granted within the retention time.
 	opened bool
-	// used tells that another keeper is not new: claims were granted, which this keeper may have forgotten.
+	// used is set once another keeper reported earlier grants, which may be missing from this table.
 	used bool
-	// clearedLives are the lives that this keeper found new when it was cleared itself.
+	// clearedLives are the peer process IDs that the successful bootstrap of this keeper found new.
 	clearedLives []string
 }
 
-// claim answers one claim of a node in peerZone.
+// claim serves a claim from a node in peerZone and returns once the decision is durable.
 func (k *keeper) claim(message claimMessage, peerZone string) claimReply {
 	k.mu.Lock()
 	reply, durable := k.decide(message, peerZone)
@@ -46,7 +47,7 @@
 	return reply
 }
 
-// decide holds the lock.
+// decide applies a claim and returns the pending write. The caller holds the lock.
 func (k *keeper) decide(message claimMessage, peerZone string) (claimReply, <-chan error) {
 	now := k.now()
 	view := k.source.Current()
@@ -86,7 +87,7 @@
 	return verdictReleased
 }
 
-// mayGrant reports whether the table is complete and the home has not just changed.
+// mayGrant reports whether the table is complete and the keeper set history allows a grant.
 func (k *keeper) mayGrant(now time.Time, pool string, members []string) bool {
 	if !k.guards.noAbstaining && !k.opened {
 		return false
@@ -94,7 +95,7 @@
 	return k.guards.noHomeHistory || k.history.mayGrant(now, pool, members, k.limits.Retention+homeMargin)
 }
 
-// learn notes what a holder states, also while this keeper abstains.
+// learn records an update from a claim's holder, also while this keeper abstains.
 func (k *keeper) learn(message learnMessage, peerZone string) noteReply {
 	k.mu.Lock()
 	if !k.mayHold(message.Key.Pool, peerZone) {
@@ -107,7 +108,7 @@
 	return noteReply{Noted: await(durable) == nil && noted}
 }
 
-// release gives a claim up.
+// release removes a claim and records its tombstone.
 func (k *keeper) release(message releaseMessage) noteReply {
 	k.mu.Lock()
 	noted, changes := k.register.Release(k.now(), message.Key, message.ID)
@@ -121,14 +122,14 @@
 	return view.Permitted(pool, k.self.Zone) && view.Permitted(pool, peerZone)
 }
 
-// start answers a keeper that wants to know whether anything was ever granted.
+// start serves a bootstrap query from another keeper.
 func (k *keeper) start(message startMessage) startReply {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return startReply{Life: k.life, New: !k.opened && !k.used, Cleared: slices.Contains(k.clearedLives, message.Life)}
 }
 
-// tend does what is due: it notes changed homes, forgets what has expired, and ends the time of abstaining.
+// tend records changed keeper sets, removes expired entries and stops abstaining once the retention time has passed.
 func (k *keeper) tend() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -143,15 +144,15 @@
 	}
 }
 
-// open ends the time of abstaining. Holds the lock. Grants that follow are written behind the mark, so that a keeper
-// that has granted is never taken for new.
+// open stops abstaining. The mark is persisted before any later grant, so that a keeper that has granted never appears
+// new. The caller holds the lock.
 func (k *keeper) open(lives []string) {
 	k.opened = true
 	k.clearedLives = lives
 	k.persist(write{opened: true})
 }
 
-// clear opens the keeper if it still abstains.
+// clear calls open if the keeper still abstains.
 func (k *keeper) clear(lives []string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -160,8 +161,8 @@
 	}
 }
 
-// noteUsed takes note that another keeper is not new, so that this one is not taken for new either, should the others lose
-// their tables in turn. It reports whether that is news.
+// noteUsed records that another keeper is not new, so that this one does not appear new if the others later lose their
+// tables. It reports whether this was not recorded before.
 func (k *keeper) noteUsed() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -185,8 +186,8 @@
 	return k.opened
 }
 
-// peers returns the other keepers of every home that this keeper is in. It is not eligible for a first start if it is
-// in none, or if a majority of one of them has no disk: nodes without a disk do not know whether they granted before.
+// peers returns the other members of every keeper set that contains this keeper. It is not eligible for bootstrap if
+// there is no such set, or if nodes without a disk, which lose their grants on restart, can form a majority of one.
 func (k *keeper) peers() (others []cluster.Node, eligible bool) {
 	view := k.source.Current()
 	if !view.Serving {
@@ -227,7 +228,7 @@
 	return diskless < allGuards.majority(len(members))
 }
 
-// observeAll notes the homes of all pools, also of those that are gone. Holds the lock.
+// observeAll records the keeper sets of all pools, including deleted ones. The caller holds the lock.
 func (k *keeper) observeAll(now time.Time, view *cluster.View) {
 	if !view.Serving {
 		return
@@ -242,14 +243,14 @@
 	}
 }
 
-// observe notes a pool's home. Holds the lock.
+// observe records a pool's keeper set. The caller holds the lock.
 func (k *keeper) observe(now time.Time, pool string, members []string) {
 	if k.history.observe(now, pool, members, k.limits.Retention+homeMargin) {
 		k.persist(write{history: k.history.clone()})
 	}
 }
 
-// persist hands a write to the file, behind all earlier ones. Holds the lock, which gives the order.
+// persist enqueues a write and returns nil if there is nothing to write. The caller holds the lock, which orders writes.
 func (k *keeper) persist(w write) <-chan error {
 	if k.store == nil || (len(w.changes) == 0 && w.history == nil && !w.opened && !w.used) {
 		return nil
@@ -257,7 +258,7 @@
 	return k.store.enqueue(w)
 }
 
-// await waits for a write; nil means that there is none.
+// await returns the result of a write; a nil channel means that there is none.
 func await(durable <-chan error) error {
 	if durable == nil {
 		return nil
--- a/internal/claims/home.go
+++ b/internal/claims/keeperset.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	// maxKeepers bounds a home.
+	// maxKeepers bounds the keeper set of a pool.
 	maxKeepers = 5
-	// wantedKeepers is the number up to which nodes without a disk are taken in.
+	// wantedKeepers is the set size up to which nodes without a disk are added.
 	wantedKeepers = 3
 )
 
-// home returns the keepers of the pool's claims, sorted by name: nodes in permitted zones of the region of the pool's
-// first permitted zone, those with a disk first, chosen by rendezvous hashing. It is empty if the view does not know
-// the pool or the region has no node.
+// home returns the pool's keeper set, sorted by name: nodes in permitted zones of the region of the pool's first
+// permitted zone, selected by rendezvous hashing, nodes with a disk preferred. It is empty if the pool is not in the
+// view or the region has no eligible node.
 func home(view *cluster.View, pool string, nodes []cluster.Node) []cluster.Node {
-	known, ok := view.Pools[pool]
-	if !ok || len(known.Spec.PermittedZones) == 0 {
+	resource, ok := view.Pools[pool]
+	if !ok || len(resource.Spec.PermittedZones) == 0 {
 		return nil
 	}
-	first := known.Spec.PermittedZones[0]
+	first := resource.Spec.PermittedZones[0]
 	var disks, others []cluster.Node
 	for _, node := range nodes {
 		if !view.Permitted(pool, node.Zone) || !sameRegion(view, first, node.Zone) {
@@ -44,7 +44,7 @@
 	return chosen
 }
 
-// sameRegion reports whether two zones are in one region. A zone without a resource is a region of its own.
+// sameRegion reports whether two zones are in the same region. A zone that the view does not define matches only itself.
 func sameRegion(view *cluster.View, a, b string) bool {
 	if a == b {
 		return true
@@ -54,7 +54,7 @@
 	return okA && okB && zoneA.Spec.Region == zoneB.Spec.Region
 }
 
-// highest returns the count nodes with the highest scores for the pool.
+// highest sorts the nodes by descending score for the pool, in place, and returns the first count.
 func highest(pool string, nodes []cluster.Node, count int) []cluster.Node {
 	slices.SortFunc(nodes, func(a, b cluster.Node) int {
 		return cmp.Or(cmp.Compare(score(pool, b.Name), score(pool, a.Name)), cmp.Compare(a.Name, b.Name))
@@ -72,17 +72,17 @@
 	return result
 }
 
-// formerHome is a set of keepers that was a pool's home until Until.
+// formerHome is a present or former keeper set of a pool.
 type formerHome struct {
 	Members []string
-	// Until is when this keeper last took it for the home; zero while it does.
+	// Until is when this keeper saw the set replaced; zero for the present set.
 	Until time.Time
 }
 
-// homeHistory remembers the homes of each pool, newest last, for as long as a claim granted by them may count.
+// homeHistory holds the keeper sets of each pool, newest last, while claims that they granted may still be valid.
 type homeHistory map[string][]formerHome
 
-// observe notes the pool's present home and reports whether the history changed.
+// observe records the pool's present keeper set and reports whether the history changed.
 func (h homeHistory) observe(now time.Time, pool string, members []string, keep time.Duration) bool {
 	past := h[pool]
 	if len(past) > 0 && slices.Equal(past[len(past)-1].Members, members) {
@@ -96,8 +96,8 @@
 	return true
 }
 
-// mayGrant reports whether every majority of the present home shares a keeper with every majority of each home that
-// may have granted within keep.
+// mayGrant reports whether every majority of the present set intersects every majority of each set that was in use
+// within keep.
 func (h homeHistory) mayGrant(now time.Time, pool string, members []string, keep time.Duration) bool {
 	for _, former := range h[pool] {
 		recent := former.Until.IsZero() || now.Sub(former.Until) <= keep
@@ -108,8 +108,8 @@
 	return true
 }
 
-// majoritiesMeet reports whether any majority of a shares a member with any majority of b. A set without members has
-// granted nothing.
+// majoritiesMeet reports whether every majority of a intersects every majority of b. An empty set has granted nothing,
+// so it conflicts with no other.
 func majoritiesMeet(a, b []string) bool {
 	if len(a) == 0 || len(b) == 0 {
 		return true
@@ -123,7 +123,7 @@
 	return allGuards.majority(len(a))+allGuards.majority(len(b)) > union
 }
 
-// clone returns a copy that later changes leave alone.
+// clone returns a copy that is safe to read while h is modified.
 func (h homeHistory) clone() homeHistory {
 	copied := make(homeHistory, len(h))
 	for pool, past := range h {
@@ -132,5 +132,5 @@
 	return copied
 }
 
-// label returns the members as one string.
+// label returns the member names joined by commas.
 func label(members []cluster.Node) string { return strings.Join(names(members), ",") }
--- a/internal/claims/manager.go
+++ b/internal/claims/manager.go
@@ -25,34 +25,34 @@
 )
 
 const (
-	// claimWindow bounds the time in which grants count for a claim.
+	// claimWindow bounds how long a claim collects grants.
 	claimWindow = 2 * time.Second
-	// noteWindow bounds the work on one release or outcome, beyond what its caller waits for.
+	// noteWindow bounds the delivery of one update or release, including retries in the background.
 	noteWindow = 15 * time.Second
-	// startInterval is the time between two attempts to find every keeper new.
+	// startInterval is the time between bootstrap attempts, and the timeout of each.
 	startInterval = 250 * time.Millisecond
-	// tendInterval is the time between two sweeps, and the longest that a changed home goes unnoticed.
+	// tendInterval is the time between maintenance runs. It bounds how long a changed keeper set goes undetected.
 	tendInterval = time.Second
-	// closeGrace is what the work in the background gets to end by itself.
+	// closeGrace is how long close waits for background work before canceling it.
 	closeGrace = time.Second
-	// renewalsPerRetention is how often the holder renews a running claim within the retention time.
+	// renewalsPerRetention is the number of renewals of a running claim per retention time.
 	renewalsPerRetention = 4
-	// maxAnswerBytes bounds one stored answer; a longer one is kept as an outcome only.
+	// maxAnswerBytes bounds one stored answer; for a larger one only the outcome is kept.
 	maxAnswerBytes = 4 << 20
 )
 
-// Params are what a Manager is built from.
+// Params configures a Manager.
 type Params struct {
 	Self   cluster.Node
 	Source cluster.Source
 	Client *rpc.Client
-	// Seeds must name the same nodes of a region on all nodes of that region.
+	// Seeds must list the same nodes of a region on every node of that region.
 	Seeds []cluster.Node
-	// DataDir is where the keeper's file goes; empty keeps claims in memory.
+	// DataDir is the folder of the claims file; empty keeps claims in memory only.
 	DataDir string
-	// Retention is how long a claim, its outcome and the fact of its release are kept. Zero means DefaultRetention.
+	// Retention is how long claims, outcomes and tombstones are kept. Zero means DefaultRetention.
 	Retention time.Duration
-	// MaxEntries and MaxAnswerBytes bound the keeper's table. Zero means the defaults.
+	// MaxEntries and MaxAnswerBytes bound the claim table. Zero means the defaults.
 	MaxEntries     int
 	MaxAnswerBytes int64
 	Logger         log.Logger
@@ -61,27 +61,27 @@
 	Now func() time.Time
 }
 
-// Manager claims requests at the keepers of their home and is a keeper itself. It implements gateway.Claims.
+// Manager claims requests at the keepers of their pool and serves as a keeper. It implements gateway.Claims.
 type Manager struct {
 	params  Params
 	keeper  *keeper
 	guards  guards
 	metrics *metrics
 
-	// ctx ends the background work; background counts it.
+	// ctx cancels the background work; background waits for it.
 	ctx        context.Context
 	cancel     context.CancelFunc
 	mu         sync.Mutex
 	closed     bool
 	background sync.WaitGroup
-	// attempts are the claims of this gateway that are not finished, by ID.
+	// attempts holds the unfinished claims of this gateway by ID. Guarded by mu.
 	attempts map[string]*attempt
 }
 
 var _ gateway.Claims = (*Manager)(nil)
 
-// New returns a Manager that has read its file. A damaged file is set aside: the keeper then abstains, as after the
-// loss of a disk. Errors: ErrFormat, or that the file cannot be opened.
+// New opens the claims file and returns a Manager. A corrupt file is renamed and replaced by an empty one, and the
+// keeper abstains. It returns ErrFormat for a file of another format, or the error of opening the file.
 func New(params Params) (*Manager, error) {
 	params = withDefaults(params)
 	m := &Manager{params: params, guards: allGuards, attempts: make(map[string]*attempt)}
@@ -141,20 +141,20 @@
 	return k, nil
 }
 
-// openOrReplace opens the file, or a new one if it is damaged.
+// openOrReplace opens the claims file. It renames a corrupt file and creates an empty one.
 func openOrReplace(params Params) (*store, loaded, error) {
 	opened, content, err := openStore(params.DataDir)
 	if !errors.Is(err, ErrCorrupt) {
 		return opened, content, err
 	}
-	level.Error(params.Logger).Log("msg", "claims file damaged and set aside, claims abstain", "err", err)
+	level.Error(params.Logger).Log("msg", "claims file corrupt and renamed, keeper abstains", "err", err)
 	if err := setAside(params.DataDir, params.Now()); err != nil {
-		return nil, loaded{}, fmt.Errorf("claims: set the damaged file aside: %w", err)
+		return nil, loaded{}, fmt.Errorf("claims: rename corrupt file: %w", err)
 	}
 	return openStore(params.DataDir)
 }
 
-// Register makes the server answer other nodes' claims.
+// Register adds the handlers of the keeper to the server.
 func (m *Manager) Register(server *rpc.Server) {
 	rpc.Handle(server, func(_ context.Context, peer rpc.Peer, message claimMessage) (claimReply, error) {
 		return m.answer(message, peer.Zone), nil
@@ -170,15 +170,15 @@
 	})
 }
 
-// answer is the keeper's answer, counted.
+// answer serves a claim and counts the verdict.
 func (m *Manager) answer(message claimMessage, peerZone string) claimReply {
 	reply := m.keeper.claim(message, peerZone)
 	m.metrics.verdicts.WithLabelValues(string(reply.Verdict)).Inc()
 	return reply
 }
 
-// Run sweeps, renews running claims and ends the time of abstaining, until ctx ends. Then it waits a
-// moment for the work that Claim and Finish have left, and closes the file. The Manager refuses claims from then on.
+// Run maintains the keeper and renews running claims until ctx ends. It then refuses new claims, waits up to closeGrace
+// for background work, cancels what remains and closes the claims file.
 func (m *Manager) Run(ctx context.Context) error {
 	tend := time.NewTicker(tendInterval)
 	defer tend.Stop()
@@ -218,7 +218,7 @@
 	return m.keeper.store.close()
 }
 
-// spawn runs the function in a goroutine that close waits for. It reports false once the Manager is closed.
+// spawn starts run in a goroutine that close waits for. It reports false once the Manager is closed.
 func (m *Manager) spawn(run func()) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -229,9 +229,9 @@
 	return true
 }
 
-// firstStart opens the keeper when every keeper of its homes is found new: then nothing was granted that it could have
-// forgotten. It also does so when another keeper found that before and saw this life. A keeper that finds another one that
-// is not new remembers it: keepers that lose their disks one after the other are never all taken for new.
+// firstStart stops abstaining if every peer is new, so that no grant can have been lost, or if a peer already found this
+// process new. A peer with earlier grants is recorded: keepers that lose their disks one after another must not all
+// appear new.
 func (m *Manager) firstStart(ctx context.Context) {
 	if m.keeper.isOpen() {
 		return
@@ -251,17 +251,17 @@
 		m.keeper.clear(nil)
 	case found.used:
 		if m.keeper.noteUsed() {
-			level.Info(m.params.Logger).Log("msg", "claims were granted before this keeper started, it abstains")
+			level.Info(m.params.Logger).Log("msg", "peer has earlier grants, keeper abstains for the retention time")
 		}
 	case found.new:
 		m.keeper.clear(found.lives)
-		level.Info(m.params.Logger).Log("msg", "every keeper is new, claims are granted", "keepers", len(others)+1)
+		level.Info(m.params.Logger).Log("msg", "all keepers are new, keeper starts granting claims", "keepers", len(others)+1)
 	}
 }
 
-// survey is what a starting keeper hears from the others.
+// survey combines the bootstrap replies of the peers.
 type survey struct {
-	// cleared: another keeper found this one new. used: another one is not new. new: all answered that they are.
+	// cleared: a peer has found this process new. used: a peer has earlier grants. new: every peer replied that it is new.
 	cleared, used, new bool
 	lives              []string
 }
--- a/internal/claims/manager_test.go
+++ b/internal/claims/manager_test.go
@@ -21,7 +21,7 @@
 
 var threeZones = []string{"zone-1", "zone-2", "zone-3"}
 
-// claimAt claims at the node at index.
+// claimAt calls Claim on the node at index.
 func (c *testCluster) claimAt(index int, request gateway.ClaimRequest) (gateway.ClaimResult, error) {
 	return c.members[index].manager.Claim(context.Background(), request)
 }
@@ -30,7 +30,7 @@
 	return c.members[index].manager.Finish(context.Background(), request, stored)
 }
 
-// mustClaim claims and expects the grant.
+// mustClaim calls Claim and requires a grant.
 func (c *testCluster) mustClaim(index int, request gateway.ClaimRequest) {
 	result, err := c.claimAt(index, request)
 	So(err, ShouldBeNil)
@@ -50,20 +50,20 @@
 		c := newCluster(t, threeZones, true).open()
 		first := requestOf("k")
 		c.mustClaim(0, first)
-		Convey("another gateway learns that the outcome is not known while the request runs", func() {
+		Convey("another gateway gets the outcome unknown while the request runs", func() {
 			result, err := c.claimAt(1, requestOf("k"))
 			So(err, ShouldBeNil)
 			So(result.State, ShouldEqual, gateway.ClaimExisting)
 			So(result.Stored.Outcome, ShouldEqual, v1.OutcomeUnknown)
 			So(result.Fingerprint, ShouldEqual, 7)
 		})
-		Convey("another key, caller or pool is another request", func() {
+		Convey("another key or caller is another request", func() {
 			c.mustClaim(1, requestOf("k2"))
 			other := requestOf("k")
 			other.Caller = "app-2"
 			c.mustClaim(1, other)
 		})
-		Convey("a completed request gives its answer at every gateway, also with one keeper gone", func() {
+		Convey("every gateway returns the answer of a completed request, also with one keeper unreachable", func() {
 			So(c.finishAt(0, first, completedWith("minutes")), ShouldBeNil)
 			c.links.isolate(c.seeds[0].Address)
 			for index := 1; index < 3; index++ {
@@ -80,13 +80,13 @@
 			})
 			c.mustClaim(2, requestOf("k"))
 		})
-		Convey("a finish of a claim that is not this gateway's changes nothing", func() {
+		Convey("Finish for a claim of another gateway changes nothing", func() {
 			So(c.finishAt(1, first, completedWith("forged")), ShouldBeNil)
 			result, err := c.claimAt(2, requestOf("k"))
 			So(err, ShouldBeNil)
 			So(result.Stored.Outcome, ShouldEqual, v1.OutcomeUnknown)
 		})
-		Convey("the gateway's death leaves the key claimed, for the retention time", func() {
+		Convey("the key of a failed gateway stays claimed for the retention time", func() {
 			c.members[0].stop()
 			result, err := c.claimAt(1, requestOf("k"))
 			So(err, ShouldBeNil)
@@ -96,7 +96,7 @@
 			So(err, ShouldBeNil)
 			So(result.State, ShouldEqual, gateway.ClaimExisting)
 		})
-		Convey("all keepers may restart and still know", func() {
+		Convey("the claim survives a restart of all keepers", func() {
 			for index := range c.members {
 				c.restart(index)
 			}
@@ -107,7 +107,7 @@
 	})
 }
 
-// recordOf returns what the keeper holds for the request's key.
+// recordOf returns the keeper's record of the request's key, or nil.
 func (k *keeper) recordOf(request gateway.ClaimRequest) *Record {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -119,7 +119,7 @@
 }
 
 func TestRace(t *testing.T) {
-	Convey("Of many claims of one key at gateways in three zones at once, at most one is granted", t, func() {
+	Convey("Of concurrent claims of one key at gateways in three zones, at most one is granted", t, func() {
 		c := newCluster(t, threeZones, true).open()
 		const rounds, each = 20, 2
 		total := 0
@@ -152,7 +152,7 @@
 }
 
 func TestPartition(t *testing.T) {
-	Convey("Without a majority a claim is refused as not run and leaves nothing", t, func() {
+	Convey("Without a majority a claim is refused as not run and leaves no record", t, func() {
 		c := newCluster(t, threeZones, true).open()
 		c.links.isolate(c.seeds[1].Address)
 		c.links.isolate(c.seeds[2].Address)
@@ -168,7 +168,7 @@
 			return err == nil && result.State == gateway.ClaimGranted
 		})
 	})
-	Convey("One keeper of three may be cut off, and learns the outcome when it is back", t, func() {
+	Convey("One keeper of three may be unreachable, and receives the outcome once reachable", t, func() {
 		c := newCluster(t, threeZones, true).open()
 		c.links.isolate(c.seeds[2].Address)
 		request := requestOf("k")
@@ -176,12 +176,12 @@
 		So(c.finishAt(0, request, completedWith("minutes")), ShouldBeNil)
 		So(c.members[2].manager.keeper.recordOf(request), ShouldBeNil)
 		c.links.heal(c.seeds[2].Address)
-		c.eventually("the third keeper knows", func() bool {
+		c.eventually("the third keeper has the outcome", func() bool {
 			record := c.members[2].manager.keeper.recordOf(request)
 			return record != nil && record.State == StateFinished
 		})
 	})
-	Convey("A claim whose replies are lost is refused as not run, and what it got is released", t, func() {
+	Convey("A claim whose replies are lost is refused as not run, and its grants are released", t, func() {
 		c := newCluster(t, threeZones, true).open()
 		c.links.mute(c.seeds[1].Address)
 		c.links.mute(c.seeds[2].Address)
@@ -196,7 +196,7 @@
 			c.eventually("the key is free", func() bool { return m.manager.keeper.recordOf(request) == nil })
 		}
 	})
-	Convey("A caller that goes away while its claim is asked for is refused as not run", t, func() {
+	Convey("A claim whose context is canceled is refused as not run", t, func() {
 		c := newCluster(t, threeZones, true).open()
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
@@ -208,7 +208,7 @@
 }
 
 func TestAbstaining(t *testing.T) {
-	Convey("Keepers in memory refuse for one retention time after their start", t, func() {
+	Convey("Keepers without a disk abstain for one retention time after their start", t, func() {
 		c := newCluster(t, threeZones, false)
 		_, err := c.claimAt(0, requestOf("k"))
 		So(refusalOf(err).Message, ShouldContainSubstring, "abstain")
@@ -216,11 +216,11 @@
 		c.open()
 		running := requestOf("running")
 		c.mustClaim(0, running)
-		Convey("and one of them that restarts does so again, but learns of running claims", func() {
+		Convey("and again after a restart, but they receive renewals of running claims", func() {
 			c.restart(1)
 			So(c.members[1].manager.keeper.isOpen(), ShouldBeFalse)
 			c.members[0].manager.renew()
-			c.eventually("the claim is known again", func() bool {
+			c.eventually("the restarted keeper has the claim", func() bool {
 				return c.members[1].manager.keeper.recordOf(running) != nil
 			})
 			c.links.isolate(c.seeds[2].Address)
@@ -237,23 +237,23 @@
 		c.members[1].manager.firstStart(context.Background())
 		So(c.members[1].manager.keeper.isOpen(), ShouldBeFalse)
 		c.links.isolate(c.seeds[0].Address)
-		// Two keepers are left: one knows the claim, the other has forgotten it and abstains.
+		// One remaining keeper has the claim; the other lost it and abstains.
 		for index := 1; index < 3; index++ {
 			result, err := c.claimAt(index, requestOf("k"))
 			So(err, ShouldBeNil)
 			So(result.State, ShouldEqual, gateway.ClaimExisting)
 		}
 		c.clock.advance(testRetention)
-		c.eventually("it grants after the retention time", c.members[1].manager.keeper.isOpen)
+		c.eventually("the keeper stops abstaining after the retention time", c.members[1].manager.keeper.isOpen)
 	})
-	Convey("Keepers that lose their disks one after the other are never all taken for new", t, func() {
+	Convey("Keepers that lose their disks one after another do not all appear new", t, func() {
 		c := newCluster(t, threeZones, true).open()
 		c.mustClaim(0, requestOf("k"))
 		for index := range c.members {
 			c.members[index].stop()
 			So(os.Remove(filepath.Join(c.members[index].dataDir, storeFile)), ShouldBeNil)
 			c.start(index)
-			c.eventually("it knows that it is not new", func() bool {
+			c.eventually("the restarted keeper records earlier grants", func() bool {
 				c.members[index].manager.firstStart(context.Background())
 				return c.members[index].manager.keeper.isUsed()
 			})
@@ -265,7 +265,7 @@
 		c.restart(0)
 		So(c.members[0].manager.keeper.isUsed(), ShouldBeTrue)
 	})
-	Convey("A single node with a disk grants from the start, one without waits", t, func() {
+	Convey("A single node grants at once with a disk, and after the retention time without", t, func() {
 		withDisk := newCluster(t, threeZones[:1], true).open()
 		withDisk.mustClaim(0, requestOf("k"))
 		without := newCluster(t, threeZones[:1], false)
@@ -283,16 +283,16 @@
 		_, err := c.claimAt(0, requestOf("k"))
 		So(refusalOf(err).Message, ShouldContainSubstring, "not permitted")
 	})
-	Convey("A gateway with another view of the home follows the keepers", t, func() {
+	Convey("A gateway whose keeper set differs adopts the one of the keepers", t, func() {
 		c := newCluster(t, threeZones, true).open()
 		c.members[0].manager.params.Seeds = c.seeds[:2]
 		c.mustClaim(0, requestOf("k"))
-		// The claim stands with two of the three records; the third keeper's may still be on its way.
-		c.eventually("the keeper of the other view keeps the claim", func() bool {
+		// A majority of two suffices for the grant; the third keeper may receive the claim later.
+		c.eventually("the third keeper has the claim", func() bool {
 			return c.members[2].manager.keeper.recordOf(requestOf("k")) != nil
 		})
 	})
-	Convey("Keepers refuse what their own view does not permit, and drop stored answers of a zone that is left", t, func() {
+	Convey("Keepers refuse claims of pools not permitted in their zone and drop their stored answers", t, func() {
 		c := newCluster(t, threeZones, true).open()
 		request := requestOf("k")
 		c.mustClaim(0, request)
@@ -312,7 +312,7 @@
 		reply := keeper.claim(claimMessage{Key: Key{Pool: testPool, Key: "n"}, ID: "x", Members: names(c.seeds)}, "zone-1")
 		So(reply.Verdict, ShouldEqual, verdictForbidden)
 	})
-	Convey("A full table refuses as not run", t, func() {
+	Convey("A claim is refused as not run when the table is full", t, func() {
 		c := newCluster(t, threeZones[:1], true).open()
 		c.members[0].manager.keeper.register.limits.MaxEntries = 1
 		c.mustClaim(0, requestOf("k"))
--- a/internal/claims/messages.go
+++ b/internal/claims/messages.go
@@ -4,78 +4,78 @@
 	"github.com/covelink/covelink/internal/cluster"
 )
 
-// claimMessage asks a keeper for a claim.
+// claimMessage requests a grant from a keeper. The type names of requests are rpc method names and must not change.
 type claimMessage struct {
 	Key         Key
 	ID          string
 	Fingerprint uint64
-	// Members names the keepers that the claimant takes for the home; Revision is that of its view.
+	// Members is the keeper set of the sender's view; Revision is the revision of that view.
 	Members  []string
 	Revision uint64
 }
 
-// verdict is a keeper's answer to a claim, beyond the decisions of its register.
+// verdict is a keeper's reply to a claim: the decision of its table or the reason for not consulting it.
 type verdict string
 
-// The verdicts. They are the values of the metric label verdict.
+// The verdicts are also values of the metric label verdict.
 const (
 	verdictGranted  verdict = "granted"
 	verdictExisting verdict = "existing"
 	verdictReleased verdict = "released"
 	verdictFull     verdict = "full"
-	// verdictOtherHome: the keeper's view gives another home, which the answer tells.
+	// verdictOtherHome: the keeper's view gives another keeper set, which is in the reply.
 	verdictOtherHome verdict = "other_home"
-	// verdictAbstains: the keeper may have forgotten claims, or may not grant so soon after the home changed.
+	// verdictAbstains: the keeper is not in the set, may have lost claims, or its set changed too recently.
 	verdictAbstains verdict = "abstains"
-	// verdictNotServing: the keeper's view may be old.
+	// verdictNotServing: the keeper's view may be stale.
 	verdictNotServing verdict = "not_serving"
-	// verdictForbidden: the pool's data may not be in the zone of the keeper or of the claimant.
+	// verdictForbidden: the pool is not permitted in the zone of the keeper or of the sender.
 	verdictForbidden verdict = "forbidden"
-	// verdictStorage: the keeper cannot write its file.
+	// verdictStorage: the keeper cannot write its claims file.
 	verdictStorage verdict = "storage"
 )
 
-// claimReply answers a claimMessage.
+// claimReply is the reply to a claimMessage.
 type claimReply struct {
 	Verdict verdict
 	// Record is set with verdictExisting.
 	Record Record
-	// Home is set with verdictOtherHome.
+	// Home is the keeper set of the keeper's view, set with verdictOtherHome.
 	Home []cluster.Node
 }
 
-// learnMessage states what the holder of a granted claim knows of it. Record.Expires is not used.
+// learnMessage carries a renewal or the final outcome from a claim's holder. Record.Expires is ignored.
 type learnMessage struct {
 	Key    Key
 	Record Record
 }
 
-// releaseMessage gives a claim up.
+// releaseMessage releases a claim.
 type releaseMessage struct {
 	Key Key
 	ID  string
 }
 
-// noteReply answers a learnMessage or a releaseMessage.
+// noteReply is the reply to a learnMessage or a releaseMessage.
 type noteReply struct {
-	// Noted is false if the keeper's table is full or its file cannot be written.
+	// Noted is false if the keeper's table is full or its claims file cannot be written.
 	Noted bool
-	// Forbidden tells that the keeper must not hold data of the pool.
+	// Forbidden is set if the pool is not permitted in the zone of the keeper or of the sender.
 	Forbidden bool
 }
 
-// startMessage asks a keeper whether it has ever granted anything.
+// startMessage is a bootstrap query: it asks a keeper whether it has granted claims before.
 type startMessage struct {
-	// Life is drawn anew by each process.
+	// Life is the random ID of the sending process.
 	Life string
 }
 
-// startReply answers a startMessage.
+// startReply is the reply to a startMessage. Life is the ID of the replying process.
 type startReply struct {
 	Life string
-	// New tells that the keeper has granted nothing in any life that it knows of, and that claims of an earlier life
-	// that it does not know of can no longer be in flight.
+	// New is set if the keeper has never been allowed to grant and knows of no earlier grants, and no claim sent to an
+	// earlier process of it can still be in flight.
 	New bool
-	// Cleared tells that the answering keeper found every keeper new, the asking life among them.
+	// Cleared is set if the bootstrap of the replying keeper found the sending process new.
 	Cleared bool
 }
--- a/internal/claims/metrics.go
+++ b/internal/claims/metrics.go
@@ -8,7 +8,7 @@
 	"github.com/covelink/covelink/internal/gateway"
 )
 
-// The values of the label result.
+// The values of the metric label result.
 const (
 	resultLabelGranted  = "granted"
 	resultLabelExisting = "existing"
@@ -51,7 +51,7 @@
 	return m
 }
 
-// tableGauge reads the keeper under its lock.
+// tableGauge returns a gauge that calls read with the keeper locked.
 func tableGauge(name, help string, k *keeper, read func() float64) prometheus.Collector {
 	return prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, func() float64 {
 		k.mu.Lock()
--- a/internal/claims/model_test.go
+++ b/internal/claims/model_test.go
@@ -9,13 +9,13 @@
 	"pgregory.net/rapid"
 )
 
-// The operations of the model that porcupine checks.
+// The operations of keyModel.
 const (
 	inputClaim = iota
 	inputFinish
 	inputRelease
 
-	// modelEnd is after every step: the time at which a statement has arrived is not known.
+	// modelEnd is the return time of updates, whose delivery time is not known. It is after every step.
 	modelEnd = int64(1 << 40)
 )
 
@@ -30,7 +30,7 @@
 	text   string
 }
 
-// modelState is one key: free, held, or finished.
+// modelState is the state of one key: free, held or finished.
 type modelState struct {
 	holder   string
 	finished bool
@@ -40,8 +40,8 @@
 	w.history = append(w.history, porcupine.Operation{ClientId: len(w.history), Input: input, Call: call, Output: output, Return: end})
 }
 
-// keyModel is the sequential specification of one key. A claim that is refused, or told that the outcome is unknown,
-// tells nothing of the state and is always allowed.
+// keyModel is the sequential specification of one key. A claim that is refused or gets the outcome unknown is allowed in
+// every state.
 var keyModel = porcupine.Model{
 	Init: func() any { return modelState{} },
 	Step: func(before, in, out any) (bool, any) {
@@ -60,11 +60,11 @@
 	},
 }
 
-// check returns what a schedule breaks; empty if nothing.
-func check(pick func(n int) int, broken faults) string {
-	w := newWorld(pick, broken)
+// check runs a schedule and returns the violation found; empty if none.
+func check(pick func(n int) int, injected faults) string {
+	w := newWorld(pick, injected)
 	w.run()
-	if w.violation == "" && !broken.long && porcupine.CheckOperationsTimeout(keyModel, w.history, waitLimit) != porcupine.Ok {
+	if w.violation == "" && !injected.long && porcupine.CheckOperationsTimeout(keyModel, w.history, waitLimit) != porcupine.Ok {
 		return "the history is not linearizable"
 	}
 	return w.violation
@@ -96,12 +96,12 @@
 		}
 		t.Logf("%d claims were granted", granted)
 		if granted < 800 {
-			t.Fatalf("only %d claims were granted: the schedules show too little", granted)
+			t.Fatalf("%d claims were granted, want at least 800 for the schedules to be meaningful", granted)
 		}
 	})
 }
 
-// TestModelCatches switches one rule off at a time and expects the checker to notice.
+// TestModelCatches verifies that the checker detects the violation when one safety rule is disabled.
 func TestModelCatches(t *testing.T) {
 	for name, test := range map[string]struct {
 		broken faults
@@ -119,7 +119,7 @@
 					return
 				}
 			}
-			t.Fatal("the checker has not noticed")
+			t.Fatal("the checker did not detect the violation")
 		})
 	}
 }
--- a/internal/claims/world_test.go
+++ b/internal/claims/simulation_test.go
@@ -18,16 +18,16 @@
 
 var modelKey = Key{Caller: "app", Pool: testPool, Key: "k"}
 
-// faults says what a schedule breaks beside the guards of the keepers.
+// faults configures a schedule.
 type faults struct {
 	guards guards
-	// sendBeforeClaim lets a claimant run before it is granted.
+	// sendBeforeClaim lets a claimant run before its claim is granted.
 	sendBeforeClaim bool
-	// long lets the clock pass the retention time.
+	// long lets a schedule exceed the retention time.
 	long bool
 }
 
-// packet is a message on its way to a keeper, or a reply on its way back.
+// packet is a request or a reply in flight.
 type packet struct {
 	to       int
 	sent     time.Time
@@ -38,21 +38,21 @@
 	reply    *claimReply
 }
 
-// modelClaimant is one gateway's attempt.
+// modelClaimant is a claim attempt of one gateway.
 type modelClaimant struct {
 	id      string
 	votes   *tally
 	started time.Time
 	heard   map[int]bool
 	decided bool
-	// ran tells that a byte may have reached an engine; over that the run has ended or its gateway has died.
+	// ran: a byte may have reached an engine. over: the run ended or its gateway failed.
 	ran      bool
 	over     bool
 	released bool
 	call     int64
 }
 
-// world is several keepers and claimants of one key, with a network that loses, repeats, delays and reorders.
+// world simulates keepers and claimants of one key over a network that loses, repeats, delays and reorders messages.
 type world struct {
 	pick      func(n int) int
 	faults    faults
@@ -68,8 +68,8 @@
 	violation string
 }
 
-func newWorld(pick func(n int) int, broken faults) *world {
-	w := &world{pick: pick, faults: broken, clock: newClock(), source: cluster.NewHolder()}
+func newWorld(pick func(n int) int, injected faults) *world {
+	w := &world{pick: pick, faults: injected, clock: newClock(), source: cluster.NewHolder()}
 	w.source.Update(func(*cluster.View) *cluster.View { return viewOf("zone-1") })
 	count := 2 + pick(4)
 	for index := range count {
@@ -91,7 +91,7 @@
 		now: w.clock.Now, register: register, history: make(homeHistory), started: w.clock.Now()}
 }
 
-// run takes random steps until the end or a violation.
+// run takes modelSteps random steps, or stops at a violation.
 func (w *world) run() {
 	for range modelSteps {
 		w.tick++
@@ -139,7 +139,7 @@
 	}
 }
 
-// execute notes that a claim runs and checks that no other one ran within the retention time.
+// execute marks a claim as run and records a violation if another one ran within the retention time.
 func (w *world) execute(c *modelClaimant) {
 	for _, other := range w.claimants {
 		if other != c && other.ran && c.started.Sub(other.started) < modelRetention-modelWindow {
@@ -149,7 +149,7 @@
 	c.ran = true
 }
 
-// deliver hands a random packet over; again tells that it stays on its way.
+// deliver delivers a random packet; with again it stays in flight, to be delivered once more.
 func (w *world) deliver(again bool) {
 	if len(w.packets) == 0 {
 		return
@@ -189,7 +189,7 @@
 	w.decide(c)
 }
 
-// decide acts on the votes as Manager does.
+// decide acts on the vote as Manager does.
 func (w *world) decide(c *modelClaimant) {
 	outcome := c.votes.result()
 	if outcome == resultOpen {
@@ -212,7 +212,7 @@
 	return answer.Tokens[0]
 }
 
-// finishOne ends a granted claim: completed, not run, or its gateway dies.
+// finishOne ends a granted claim: completed, not run, or its gateway fails.
 func (w *world) finishOne() {
 	if len(w.claimants) == 0 {
 		return
@@ -246,10 +246,10 @@
 	}
 }
 
-// crash ends a keeper; with an empty restart to come if it has no disk.
+// crash stops a keeper.
 func (w *world) crash() { w.down[w.pick(len(w.keepers))] = true }
 
-// recover starts a keeper that is down, with its table or without.
+// recover restarts a stopped keeper, with or without its table.
 func (w *world) recover() {
 	index := w.pick(len(w.keepers))
 	if !w.down[index] {
@@ -274,7 +274,7 @@
 	}
 }
 
-// lose drops a packet. Releases are repeated until they arrive, so they are not lost.
+// lose drops a random packet unless it is a release, since releases are retried until they arrive.
 func (w *world) lose() {
 	if len(w.packets) == 0 {
 		return
@@ -285,7 +285,7 @@
 	}
 }
 
-// expire ends the claims whose window is over and drops packets as old as the retention time.
+// expire closes the votes whose claim window has ended and drops packets close to the retention time.
 func (w *world) expire() {
 	now := w.clock.Now()
 	for _, c := range w.claimants {
@@ -294,16 +294,16 @@
 			w.decide(c)
 		}
 	}
-	var young []packet
+	var remaining []packet
 	for _, p := range w.packets {
 		if now.Sub(p.sent) < modelRetention-modelWindow {
-			young = append(young, p)
+			remaining = append(remaining, p)
 		}
 	}
-	w.packets = young
+	w.packets = remaining
 }
 
-// settle lets everything arrive. If nothing ran, the key must be free at every keeper.
+// settle delivers all packets. If every claim was released and none ran, the key must be free at every keeper.
 func (w *world) settle() {
 	for index := range w.down {
 		w.down[index] = false
@@ -318,11 +318,11 @@
 		}
 	}
 	if w.faults.long {
-		return // a keeper that was down for so long has missed the release
+		return // a release may have expired while its keeper was down
 	}
 	for _, k := range w.keepers {
 		if _, held := k.register.lookup(w.clock.Now(), modelKey); held && w.violation == "" {
-			w.violation = "every claim was released and a keeper still holds one"
+			w.violation = "every claim was released, but a keeper still holds one"
 		}
 	}
 }
--- a/internal/claims/store.go
+++ b/internal/claims/store.go
@@ -18,13 +18,13 @@
 )
 
 const (
-	// storeFile is the file in the data folder.
+	// storeFile is the name of the claims file in the data folder.
 	storeFile = "claims.db"
 	// storeFormat is the version of the file's format.
 	storeFormat = 1
 	storeMode   = 0o600
 	folderMode  = 0o700
-	// lockTimeout bounds the wait for a file that another process has open.
+	// lockTimeout bounds the wait for the file lock of another process.
 	lockTimeout   = 2 * time.Second
 	checksumBytes = 8
 )
@@ -42,34 +42,34 @@
 	allBuckets = [][]byte{bucketMeta, bucketRecords, bucketTombstones}
 )
 
-// The errors of a store.
+// Errors of opening or writing the claims file.
 var (
-	// ErrCorrupt: a checksum or an entry of the file does not hold.
-	ErrCorrupt = errors.New("claims: the file is damaged")
-	// ErrFormat: the file was written by another version of the program.
-	ErrFormat = errors.New("claims: the file has another format")
-	// ErrStoreFailed: an earlier write failed, so the file may not hold what was promised.
-	ErrStoreFailed = errors.New("claims: the file cannot be written")
-	errStoreClosed = errors.New("claims: the file is closed")
+	// ErrCorrupt reports a wrong checksum or an invalid entry.
+	ErrCorrupt = errors.New("claims: file is corrupt")
+	// ErrFormat reports a file of an unsupported format version.
+	ErrFormat = errors.New("claims: file has an unsupported format version")
+	// ErrStoreFailed reports that this or an earlier write failed, so that the file may lack changes.
+	ErrStoreFailed = errors.New("claims: file cannot be written")
+	errStoreClosed = errors.New("claims: file is closed")
 )
 
-// diskRecord is a record with its key, as the file holds it.
+// diskRecord is the stored form of a record and its key.
 type diskRecord struct {
 	Key    Key
 	Record Record
 }
 
-// loaded is what a file held.
+// loaded is the content of a claims file.
 type loaded struct {
 	changes []change
 	history homeHistory
-	// opened tells that the keeper has once been cleared to grant, so that the table is complete.
+	// opened is set if the keeper has been allowed to grant before, so that the table is complete.
 	opened bool
-	// used tells that another keeper was found that is not new.
+	// used is set if another keeper has reported earlier grants.
 	used bool
 }
 
-// store keeps a Register in a file. Writes are committed in the order of enqueue, many to one sync.
+// store persists a Register. Writes are committed in enqueue order, all pending ones in one transaction.
 type store struct {
 	db *bolt.DB
 
@@ -81,7 +81,7 @@
 	done    chan struct{}
 }
 
-// write is a batch of changes that must be durable together.
+// write is a set of changes that is committed atomically.
 type write struct {
 	changes []change
 	history homeHistory
@@ -90,10 +90,10 @@
 	result  chan error // buffered, receives exactly once
 }
 
-// openStore opens or creates the file in the folder and reads it.
+// openStore opens or creates the claims file in the folder and loads it.
 func openStore(folder string) (opened *store, content loaded, err error) {
 	defer func() {
-		// bbolt panics on pages that contradict each other.
+		// bbolt panics on inconsistent pages.
 		if fault := recover(); fault != nil {
 			opened, err = nil, fmt.Errorf("%w: %v", ErrCorrupt, fault)
 		}
@@ -115,7 +115,7 @@
 	return s, content, nil
 }
 
-// openError tells a damaged file from one that cannot be opened now.
+// openError wraps corruption errors of bbolt in ErrCorrupt.
 func openError(err error) error {
 	for _, damage := range []error{bolterrors.ErrInvalid, bolterrors.ErrChecksum, bolterrors.ErrVersionMismatch} {
 		if errors.Is(err, damage) {
@@ -125,7 +125,7 @@
 	return fmt.Errorf("claims: open %s: %w", storeFile, err)
 }
 
-// setAside renames a damaged file, so that it can be looked at, and makes room for a new one.
+// setAside renames a corrupt file to keep it for inspection.
 func setAside(folder string, now time.Time) error {
 	path := filepath.Join(folder, storeFile)
 	return os.Rename(path, fmt.Sprintf("%s.damaged-%d", path, now.UnixNano()))
@@ -185,8 +185,8 @@
 	})
 }
 
-// enqueue takes changes to be written after all those taken before. The channel receives once they are durable, or
-// cannot be. Callers that must keep an order call enqueue in it.
+// enqueue adds a write behind all earlier ones. The returned channel receives nil once the write is durable, or the
+// error. Writes are ordered as enqueue is called.
 func (s *store) enqueue(w write) <-chan error {
 	w.result = make(chan error, 1)
 	s.mu.Lock()
@@ -206,7 +206,7 @@
 	return w.result
 }
 
-// run commits what is pending until the store is closed.
+// run commits pending writes until the store is closed.
 func (s *store) run() {
 	defer close(s.done)
 	for range s.wake {
@@ -223,7 +223,8 @@
 	}
 }
 
-// commit writes a batch with one sync. A failure is final: the file may lack what the table holds.
+// commit writes a batch in one transaction. After a failure all later writes fail, since the file may lack changes
+// that the table holds.
 func (s *store) commit(batch []write, failed error) {
 	if len(batch) == 0 {
 		return
@@ -302,7 +303,7 @@
 	return tombstones.Put([]byte(c.tombstone), sealed)
 }
 
-// close commits what is pending and closes the file.
+// close commits pending writes and closes the file.
 func (s *store) close() error {
 	s.mu.Lock()
 	if s.closed {
@@ -319,13 +320,13 @@
 	return s.db.Close()
 }
 
-// diskKey is of one length, whatever the key.
+// diskKey returns the bucket key of a record: a hash, so that its length is fixed.
 func diskKey(key Key) []byte {
 	sum := sha256.Sum256([]byte(key.Caller + "\x00" + key.Pool + "\x00" + key.Key))
 	return sum[:]
 }
 
-// seal encodes a value behind its checksum.
+// seal encodes a value with gob and prepends its checksum.
 func seal(value any) ([]byte, error) {
 	var buffer bytes.Buffer
 	buffer.Write(make([]byte, checksumBytes))
@@ -337,7 +338,7 @@
 	return sealed, nil
 }
 
-// unseal checks and decodes what seal returned.
+// unseal verifies and decodes the output of seal. It returns ErrCorrupt if either fails.
 func unseal(sealed []byte, value any) error {
 	if len(sealed) < checksumBytes {
 		return ErrCorrupt
--- a/internal/claims/store_test.go
+++ b/internal/claims/store_test.go
@@ -15,7 +15,7 @@
 )
 
 func TestStore(t *testing.T) {
-	Convey("A file gives back what was written before its close", t, func() {
+	Convey("A reopened file returns the committed writes", t, func() {
 		folder := t.TempDir()
 		s, content, err := openStore(folder)
 		So(err, ShouldBeNil)
@@ -52,7 +52,7 @@
 			So(db.Update(change), ShouldBeNil)
 			So(db.Close(), ShouldBeNil)
 		}
-		Convey("an entry whose checksum does not hold is found, and the file is set aside", func() {
+		Convey("an entry with a wrong checksum is detected and the file is renamed", func() {
 			damage(func(tx *bolt.Tx) error {
 				bucket := tx.Bucket(bucketRecords)
 				value := append([]byte(nil), bucket.Get(diskKey(modelKey))...)
@@ -69,12 +69,12 @@
 			So(err, ShouldBeNil)
 			So(len(files), ShouldEqual, 2)
 		})
-		Convey("a file of another format is refused", func() {
+		Convey("a file of an unsupported format version is refused", func() {
 			damage(func(tx *bolt.Tx) error { return tx.Bucket(bucketMeta).Put(keyFormat, []byte{storeFormat + 1}) })
 			_, err := New(Params{DataDir: folder, Source: cluster.NewHolder()})
 			So(errors.Is(err, ErrFormat), ShouldBeTrue)
 		})
-		Convey("a file that is not one of ours is set aside", func() {
+		Convey("a file that is not a bbolt database is reported as corrupt", func() {
 			So(os.WriteFile(filepath.Join(folder, storeFile), make([]byte, 1<<16), 0o600), ShouldBeNil)
 			_, _, err := openStore(folder)
 			So(errors.Is(err, ErrCorrupt), ShouldBeTrue)
@@ -83,7 +83,7 @@
 }
 
 func TestBounds(t *testing.T) {
-	Convey("Answers beyond the bound are dropped, oldest first, and their outcomes stay", t, func() {
+	Convey("Answers beyond MaxAnswerBytes are evicted, oldest first, and their outcomes stay", t, func() {
 		now := time.Unix(1, 0)
 		r := NewRegister(Limits{Retention: time.Minute, MaxEntries: 10, MaxAnswerBytes: 400})
 		for _, id := range []string{"a", "b", "c"} {
--- a/internal/claims/register.go
+++ b/internal/claims/table.go
@@ -7,32 +7,32 @@
 	"github.com/covelink/covelink/internal/gateway"
 )
 
-// Key identifies a request at every gateway.
+// Key identifies a request across gateways.
 type Key struct {
 	Caller string
 	Pool   string
 	Key    string
 }
 
-// State is what became of a claim at one keeper.
+// State is the state of a claim at one keeper.
 type State int
 
 // The states. A released claim has no record, only a tombstone.
 const (
-	// StateClaimed: the request may be running, or its holder is gone.
+	// StateClaimed: the request may be running, or its gateway failed.
 	StateClaimed State = iota + 1
 	// StateFinished: Stored is final.
 	StateFinished
 )
 
-// Record is one keeper's knowledge of a key.
+// Record is the entry of a key in one keeper's table.
 type Record struct {
-	// ID is the claim that holds the key.
+	// ID identifies the claim that holds the key.
 	ID          string
 	State       State
 	Fingerprint uint64
 	Stored      gateway.StoredOutcome
-	// Expires is when the record is forgotten.
+	// Expires is when the record is removed.
 	Expires time.Time
 }
 
@@ -42,50 +42,50 @@
 	return Record{ID: id, State: StateClaimed, Fingerprint: fingerprint, Stored: unknown}
 }
 
-// Decision is a keeper's answer to a claim.
+// Decision is the result of Register.Claim.
 type Decision int
 
 // The decisions.
 const (
-	// DecisionGranted: this keeper holds the key for the claim.
+	// DecisionGranted: the claim holds the key at this keeper.
 	DecisionGranted Decision = iota + 1
-	// DecisionExisting: another claim has the key.
+	// DecisionExisting: another claim holds the key, or this one is finished.
 	DecisionExisting
 	// DecisionReleased: the claim was released before.
 	DecisionReleased
-	// DecisionFull: the table has no room.
+	// DecisionFull: the table is full.
 	DecisionFull
 )
 
-// change is one step that a Register has taken, as a store must repeat it.
+// change is one mutation of a Register, to be persisted by a store.
 type change struct {
 	key Key
-	// record is what the key now has; nil removes it.
+	// record is the new record of key; nil removes it.
 	record *Record
-	// tombstone is the ID of a released claim; empty if the change is about key.
+	// tombstone is the ID of a released claim; empty if the change applies to key.
 	tombstone string
-	// until is when the tombstone is forgotten; zero removes it.
+	// until is when the tombstone expires; zero removes it.
 	until time.Time
 }
 
-// Limits bounds a Register.
+// Limits are the limits of a Register.
 type Limits struct {
 	// Retention is how long a record or tombstone is kept after its last change.
 	Retention time.Duration
 	// MaxEntries bounds records and tombstones together.
 	MaxEntries int
-	// MaxAnswerBytes bounds the kept answers. The oldest are dropped first; their outcomes stay.
+	// MaxAnswerBytes bounds the stored answers. The oldest are evicted first; their outcomes stay.
 	MaxAnswerBytes int64
 }
 
-// Register is one keeper's table of claims. It is a state machine: it reads no clock and does no I/O.
-// It is not safe for concurrent use.
+// Register is the claim table of one keeper: a deterministic state machine that reads no clock and does no I/O. It is
+// not safe for concurrent use.
 type Register struct {
 	limits     Limits
 	guards     guards
 	records    map[Key]*Record
 	tombstones map[string]time.Time
-	// answers lists the keys with an answer, oldest first; a key may stand in it for an answer dropped since.
+	// answers lists the keys with an answer, oldest first. It may include keys whose answer has been removed.
 	answers     []Key
 	answerBytes int64
 }
@@ -103,11 +103,11 @@
 // Entries returns the number of records and tombstones.
 func (r *Register) Entries() int { return len(r.records) + len(r.tombstones) }
 
-// AnswerBytes returns the size of the kept answers.
+// AnswerBytes returns the approximate size of the stored answers in bytes.
 func (r *Register) AnswerBytes() int64 { return r.answerBytes }
 
-// Claim takes the key for the claim ID unless another claim has it. The record is what the key has afterwards.
-// A claim that is repeated by its holder is granted again.
+// Claim grants the key to the claim ID unless another claim holds it, and returns the resulting record of the key.
+// A retry by the holder of an unfinished claim is granted again.
 func (r *Register) Claim(now time.Time, key Key, id string, fingerprint uint64) (Decision, Record, []change) {
 	if r.buried(now, id) {
 		return DecisionReleased, Record{}, nil
@@ -126,12 +126,9 @@
 	return DecisionGranted, record, []change{r.put(key, record)}
 }
 
-// Learn notes what the holder of a granted claim states: that it still runs, or its final outcome. It reports whether
-// the statement is noted or needs no more.
-//
-// A final outcome takes the place of another claim that is not finished: that one can have a minority only. A statement
-// that the claim still runs does not, since it may be late: the claim may have been released elsewhere, and the other
-// one granted. A finished claim stays as it is, and a released one stays released.
+// Learn applies a renewal or the final outcome of a granted claim. It returns false if the table is full. Finished and
+// released claims stay as they are. A final outcome replaces another unfinished claim, which has only a minority; a
+// renewal does not, as it may be delayed and the other claim granted since.
 func (r *Register) Learn(now time.Time, key Key, stated Record) (bool, []change) {
 	if r.buried(now, stated.ID) {
 		return true, nil
@@ -151,8 +148,8 @@
 	return true, append(changes, r.trimAnswers()...)
 }
 
-// Release gives the key up if the claim ID holds it unfinished, and refuses the claim from then on. It reports whether
-// the claim can no longer be granted here.
+// Release removes an unfinished claim and records a tombstone that rejects delayed messages of it. It returns false if
+// the table has no room for the tombstone.
 func (r *Register) Release(now time.Time, key Key, id string) (bool, []change) {
 	var changes []change
 	if held, ok := r.lookup(now, key); ok && held.ID == id {
@@ -173,7 +170,7 @@
 	return true, append(changes, change{tombstone: id, until: until})
 }
 
-// Sweep forgets what has expired, and the answers of pools that are not to be kept here.
+// Sweep removes expired entries, and the answers of pools for which keep returns false.
 func (r *Register) Sweep(now time.Time, keep func(pool string) bool) []change {
 	var changes []change
 	for key, record := range r.records {
@@ -194,7 +191,7 @@
 	return changes
 }
 
-// restore repeats a change read from a store.
+// restore applies a change read from a store.
 func (r *Register) restore(c change) {
 	if c.tombstone != "" {
 		r.tombstones[c.tombstone] = c.until
@@ -234,14 +231,14 @@
 	}
 }
 
-// dropAnswer keeps the outcome without its answer. Records are never changed in place, since a store may be writing one.
+// dropAnswer removes the answer and keeps the outcome. It replaces the record, since a store may be reading the old one.
 func (r *Register) dropAnswer(key Key, record *Record) change {
 	bare := *record
 	bare.Stored.Answer = nil
 	return r.put(key, bare)
 }
 
-// trimAnswers drops the oldest answers until the rest fits.
+// trimAnswers evicts the oldest answers until MaxAnswerBytes is met.
 func (r *Register) trimAnswers() []change {
 	var changes []change
 	for r.answerBytes > r.limits.MaxAnswerBytes && len(r.answers) > 0 {
@@ -255,13 +252,13 @@
 }
 
 const (
-	// answerOverhead and segmentBytes approximate the memory of an answer beside its text.
+	// Approximate memory of an answer in addition to its text: per answer, per segment and per token.
 	answerOverhead = 128
 	segmentBytes   = 64
 	tokenOverhead  = 16
 )
 
-// answerSize approximates the memory of an answer.
+// answerSize returns the approximate memory use of an answer in bytes.
 func answerSize(answer *gateway.StoredAnswer) int64 {
 	if answer == nil {
 		return 0
--- a/internal/claims/register_test.go
+++ b/internal/claims/table_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestHomeHistory(t *testing.T) {
-	// A keeper whose home changes to one with a disjoint majority must not grant until the old one is forgotten.
+	// After a change to a keeper set with a disjoint majority, a keeper must not grant until the old set expires.
 	verdictAfter := func(rules guards, wait time.Duration) verdict {
 		w := newWorld(func(int) int { return 1 }, faults{guards: rules})
 		k := w.keepers[0]
@@ -23,16 +23,16 @@
 		return k.claim(claimMessage{Key: modelKey, ID: "x", Members: members}, "zone-1").Verdict
 	}
 	if got := verdictAfter(allGuards, modelRetention); got != verdictAbstains {
-		t.Errorf("right after the change: %s", got)
+		t.Errorf("immediately after the change: got verdict %s", got)
 	}
 	if got := verdictAfter(allGuards, modelRetention+homeMargin+time.Second); got != verdictGranted {
-		t.Errorf("after the old home is forgotten: %s", got)
+		t.Errorf("after the old keeper set expired: got verdict %s", got)
 	}
 	if got := verdictAfter(guards{noHomeHistory: true}, time.Second); got != verdictGranted {
-		t.Errorf("without the rule: %s", got)
+		t.Errorf("with the rule disabled: got verdict %s", got)
 	}
 	if majoritiesMeet([]string{"a", "b", "c"}, []string{"a", "b", "d"}) || !majoritiesMeet([]string{"a", "b"}, []string{"a", "b", "c"}) {
-		t.Error("only sets that differ by one more or less meet")
+		t.Error("majorities must meet if one member is added or removed, and not if one is replaced")
 	}
 }
 
@@ -43,12 +43,12 @@
 		act  func(r *Register)
 		want string
 	}{
-		"a release before its claim":            {func(r *Register) { r.Release(now, modelKey, "a"); r.Claim(now, modelKey, "a", 1) }, ""},
-		"a renewal after the release":           {func(r *Register) { r.Release(now, modelKey, "a"); r.Learn(now, modelKey, heldRecord("a", 1)) }, ""},
-		"a late renewal against another claim":  {func(r *Register) { r.Claim(now, modelKey, "b", 1); r.Learn(now, modelKey, heldRecord("a", 1)) }, "b"},
-		"an outcome against a minority's claim": {func(r *Register) { r.Claim(now, modelKey, "b", 1); r.Learn(now, modelKey, finished) }, "a"},
-		"a release of another claim":            {func(r *Register) { r.Claim(now, modelKey, "b", 1); r.Release(now, modelKey, "a") }, "b"},
-		"a release after the outcome":           {func(r *Register) { r.Learn(now, modelKey, finished); r.Release(now, modelKey, "a") }, "a"},
+		"release before its claim":              {func(r *Register) { r.Release(now, modelKey, "a"); r.Claim(now, modelKey, "a", 1) }, ""},
+		"renewal after the release":             {func(r *Register) { r.Release(now, modelKey, "a"); r.Learn(now, modelKey, heldRecord("a", 1)) }, ""},
+		"delayed renewal against another claim": {func(r *Register) { r.Claim(now, modelKey, "b", 1); r.Learn(now, modelKey, heldRecord("a", 1)) }, "b"},
+		"outcome against a claim of a minority": {func(r *Register) { r.Claim(now, modelKey, "b", 1); r.Learn(now, modelKey, finished) }, "a"},
+		"release of another claim":              {func(r *Register) { r.Claim(now, modelKey, "b", 1); r.Release(now, modelKey, "a") }, "b"},
+		"release after the outcome":             {func(r *Register) { r.Learn(now, modelKey, finished); r.Release(now, modelKey, "a") }, "a"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := NewRegister(Limits{Retention: time.Hour, MaxEntries: 10, MaxAnswerBytes: 1})
@@ -58,7 +58,7 @@
 				got = record.ID
 			}
 			if got != test.want {
-				t.Errorf("the key is held by %q, want %q", got, test.want)
+				t.Errorf("key is held by %q, want %q", got, test.want)
 			}
 		})
 	}
--- a/internal/claims/tally.go
+++ b/internal/claims/votecounter.go
@@ -4,7 +4,7 @@
 	"github.com/covelink/covelink/internal/gateway"
 )
 
-// result is what a claim has come to.
+// result is the state of a claim's vote.
 type result int
 
 const (
@@ -13,25 +13,25 @@
 	resultGranted
 	// resultFinished: another claim of the key is finished.
 	resultFinished
-	// resultHeld: another claim may hold the key, and may be running.
+	// resultHeld: another claim may have been granted and may be running.
 	resultHeld
-	// resultFailed: no majority, and no other claim can have one.
+	// resultFailed: neither this claim nor another one can have a majority.
 	resultFailed
 )
 
-// tally counts the answers of the keepers of one home. It is pure.
+// tally counts the replies of one keeper set to a claim.
 type tally struct {
 	guards  guards
 	members int
 	granted int
-	// answered counts answers and failures; silent are those that may hide a grant to another claim.
+	// answered counts replies and failures; silent counts those that may conceal a grant to another claim.
 	answered int
 	silent   int
-	// holders counts the keepers that name each other claim.
+	// holders counts, per other claim ID, the keepers where it holds the key.
 	holders map[string]int
-	// seen is the most telling record of another claim.
+	// seen is the first record of another claim with the most advanced state.
 	seen Record
-	// refusals counts the answers that are neither grants nor records.
+	// refusals counts replies that are neither grants nor existing claims.
 	refusals map[verdict]int
 }
 
@@ -39,7 +39,7 @@
 	return &tally{guards: rules, members: members, holders: make(map[string]int), refusals: make(map[verdict]int)}
 }
 
-// add counts one answer; failed stands for a keeper that could not be asked or did not answer.
+// add counts one reply; failed means that the call to the keeper failed.
 func (t *tally) add(reply claimReply, failed bool) {
 	t.answered++
 	switch {
@@ -58,14 +58,14 @@
 	}
 }
 
-// end takes the keepers that have not answered for silent.
+// end counts the keepers without a reply as silent.
 func (t *tally) end() {
 	t.silent += t.members - t.answered
 	t.answered = t.members
 }
 
-// result returns what is decided. A finished record decides at once, since its holder had a majority. Without one a
-// claim that cannot win is failed only when no other can have won.
+// result returns the state of the vote. A finished record decides at once, since its holder had a majority. A claim
+// without a majority fails only if no other claim can have one.
 func (t *tally) result() result {
 	majority := t.guards.majority(t.members)
 	waiting := t.members - t.answered
@@ -84,7 +84,7 @@
 	return resultFailed
 }
 
-// mostHeld returns how many keepers name the other claim that most name.
+// mostHeld returns the highest number of keepers held by one other claim.
 func (t *tally) mostHeld() int {
 	most := 0
 	for _, count := range t.holders {
@@ -93,7 +93,7 @@
 	return most
 }
 
-// existing returns what the gateway is told of another claim.
+// existing returns the gateway result for a key held by another claim.
 func (t *tally) existing() gateway.ClaimResult {
 	return gateway.ClaimResult{State: gateway.ClaimExisting, Stored: t.seen.Stored, Fingerprint: t.seen.Fingerprint}
 }
--- a/internal/claims/votes.go
+++ b/internal/claims/votes.go
@@ -1,42 +1,42 @@
 package claims
 
-// VoteResult is what the keepers' answers to one claim have come to.
+// VoteResult is the state of a claim's vote.
 type VoteResult int
 
 // The results.
 const (
-	// VoteOpen: more answers are needed.
+	// VoteOpen: more replies are needed.
 	VoteOpen VoteResult = iota
 	// VoteGranted: a majority granted.
 	VoteGranted
 	// VoteFinished: another claim of the key is finished.
 	VoteFinished
-	// VoteHeld: another claim may hold the key.
+	// VoteHeld: another claim may have been granted.
 	VoteHeld
-	// VoteFailed: no majority, and no other claim can have one.
+	// VoteFailed: neither this claim nor another one can have a majority.
 	VoteFailed
 )
 
-// Votes counts the answers of the keepers of one home as a Manager does, for those who carry the messages themselves,
-// such as a simulation. It is pure.
+// Votes counts the replies of one keeper set as a Manager does, for callers with their own transport, such as a
+// simulation.
 type Votes struct{ tally *tally }
 
-// NewVotes returns the count of a claim of which no keeper has answered.
+// NewVotes returns the vote of a claim without replies.
 func NewVotes(members int) *Votes { return &Votes{tally: newTally(members, allGuards)} }
 
-// Add counts a keeper's decision; the record is set with DecisionExisting.
+// Add counts a keeper's decision. The record is used with DecisionExisting only.
 func (v *Votes) Add(decision Decision, record Record) {
 	v.tally.add(claimReply{Verdict: verdictOf(decision), Record: record}, false)
 }
 
-// Abstain counts a keeper that may have forgotten claims, or could not be asked.
+// Abstain counts a keeper that abstained or could not be reached.
 func (v *Votes) Abstain() { v.tally.add(claimReply{Verdict: verdictAbstains}, false) }
 
-// End takes the keepers that have not answered for silent.
+// End counts the keepers without a reply as silent.
 func (v *Votes) End() { v.tally.end() }
 
-// Result returns what is decided so far.
+// Result returns the current state of the vote.
 func (v *Votes) Result() VoteResult { return VoteResult(v.tally.result()) }
 
-// Seen returns the most telling record of another claim.
+// Seen returns the first record of another claim with the most advanced state.
 func (v *Votes) Seen() Record { return v.tally.seen }
