--- a/internal/claims/claim.go
+++ b/internal/claims/claim.go
@@ -20,15 +20,15 @@
 	retryAfterAbstaining  = 5 * time.Second
 	retryAfterContended   = time.Second
 	// releaseWait bounds how long Finish waits for a release; the release continues in the background.
-	releaseWait    = 300 * time.Millisecond
-	noteFirstDelay = 50 * time.Millisecond
-	noteMaxDelay   = 2 * time.Second
-	// noteAttemptTimeout bounds a single call to a keeper.
-	noteAttemptTimeout = 2 * time.Second
+	releaseWait          = 300 * time.Millisecond
+	updateInitialBackoff = 50 * time.Millisecond
+	updateMaxBackoff     = 2 * time.Second
+	// updateCallTimeout bounds a single call to a keeper.
+	updateCallTimeout = 2 * time.Second
 )
 
-// errNotNoted reports a keeper that did not record an update or a release.
-var errNotNoted = errors.New("claims: keeper did not record the update")
+// errNotRecorded reports a keeper that did not record an update or a release.
+var errNotRecorded = errors.New("claims: keeper did not record the update")
 
 // attempt is a claim made by this gateway that is not finished.
 type attempt struct {
@@ -37,8 +37,8 @@
 	fingerprint uint64
 	// nodes are the keepers that may have received the claim.
 	nodes []cluster.Node
-	// home is the keeper set whose majority granted the claim; empty until then.
-	home []cluster.Node
+	// grantedBy is the keeper set whose majority granted the claim; empty until then.
+	grantedBy []cluster.Node
 }
 
 // Claim implements gateway.Claims. It returns as soon as the replies received so far decide the result. Every error is
@@ -56,7 +56,7 @@
 	if !view.Permitted(key.Pool, m.params.Self.Zone) {
 		return gateway.ClaimResult{}, v1.NotRun(v1.CodeUnavailable, retryAfterUnreachable, "the pool is not permitted in this zone")
 	}
-	keepers := home(view, key.Pool, m.params.Seeds)
+	keepers := keeperSet(view, key.Pool, m.params.Seeds)
 	if len(keepers) == 0 {
 		return gateway.ClaimResult{}, v1.NotRun(v1.CodeUnavailable, retryAfterUnreachable, "the pool has no claim keepers")
 	}
@@ -64,9 +64,9 @@
 	if !m.track(a) {
 		return gateway.ClaimResult{}, v1.NotRun(v1.CodeUnavailable, retryAfterUnreachable, "the node is stopping")
 	}
-	votes, other := m.ask(ctx, a, keepers, view.Revision)
+	votes, other := m.collectVotes(ctx, a, keepers, view.Revision)
 	if usable(view, key.Pool, other) && votes.result() == resultFailed && ctx.Err() == nil {
-		votes, _ = m.ask(ctx, a, other, view.Revision)
+		votes, _ = m.collectVotes(ctx, a, other, view.Revision)
 	}
 	return m.conclude(ctx, a, votes)
 }
@@ -77,24 +77,24 @@
 	return len(members) > 0 && len(members) <= maxKeepers && !slices.ContainsFunc(members, forbidden)
 }
 
-// ask sends the claim to the keepers and counts their replies until the result is decided, the claim window ends or ctx
-// is done. It also returns the keeper set that most mismatch replies named, or nil.
-func (m *Manager) ask(ctx context.Context, a *attempt, keepers []cluster.Node, revision uint64) (*tally, []cluster.Node) {
+// collectVotes sends the claim to the keepers and counts their replies until the result is decided, the claim window
+// ends or ctx is done. It also returns the keeper set that most mismatch replies named, or nil.
+func (m *Manager) collectVotes(ctx context.Context, a *attempt, keepers []cluster.Node, revision uint64) (*voteCounter, []cluster.Node) {
 	m.addNodes(a, keepers)
 	message := claimMessage{Key: a.key, ID: a.id, Fingerprint: a.fingerprint, Members: names(keepers), Revision: revision}
 	callCtx, cancel := context.WithTimeout(m.ctx, claimWindow)
-	answers := make(chan answerOf[claimReply], len(keepers))
+	answers := make(chan nodeReply[claimReply], len(keepers))
 	started := m.spawn(func() {
 		defer cancel()
-		for answer := range askAll(callCtx, keepers, m.claimer(message)) {
+		for answer := range broadcast(callCtx, keepers, m.claimCall(message)) {
 			answers <- answer
 		}
 	})
 	if !started {
 		cancel()
 	}
-	votes := newTally(len(keepers), m.guards)
-	sets := newPoll()
+	votes := newVoteCounter(len(keepers), m.guards)
+	sets := newKeeperSetVotes()
 	window := time.NewTimer(claimWindow)
 	defer window.Stop()
 	for votes.result() == resultOpen {
@@ -109,12 +109,12 @@
 		}
 	}
 	if votes.result() == resultGranted {
-		m.setHome(a, keepers)
+		m.setGrantedBy(a, keepers)
 	}
 	return votes, sets.winner()
 }
 
-func (m *Manager) claimer(message claimMessage) func(context.Context, cluster.Node) (claimReply, error) {
+func (m *Manager) claimCall(message claimMessage) func(context.Context, cluster.Node) (claimReply, error) {
 	return func(ctx context.Context, node cluster.Node) (claimReply, error) {
 		if node.Name == m.params.Self.Name {
 			return m.answer(message, m.params.Self.Zone), nil
@@ -125,14 +125,14 @@
 
 // conclude converts the votes to the result of Claim. If another claim holds the key, it releases this one in the
 // background.
-func (m *Manager) conclude(ctx context.Context, a *attempt, votes *tally) (gateway.ClaimResult, error) {
+func (m *Manager) conclude(ctx context.Context, a *attempt, votes *voteCounter) (gateway.ClaimResult, error) {
 	outcome := votes.result()
 	if outcome == resultGranted {
 		return gateway.ClaimResult{State: gateway.ClaimGranted}, nil
 	}
 	if outcome == resultFinished || outcome == resultHeld {
 		m.forget(a.id)
-		m.spawn(func() { m.releaseEverywhere(m.ctx, a) })
+		m.spawn(func() { m.releaseAll(m.ctx, a) })
 		return votes.existing(), nil
 	}
 	// After an error the gateway calls Finish with not_run, which releases the claim.
@@ -140,7 +140,7 @@
 }
 
 // refusal returns the error for a claim that was not granted by a majority.
-func refusal(ctx context.Context, votes *tally) error {
+func refusal(ctx context.Context, votes *voteCounter) error {
 	switch {
 	case ctx.Err() != nil:
 		return v1.NotRun(v1.CodeDeadlineExceeded, retryAfterContended, "the request was canceled or timed out before its claim was granted")
@@ -165,30 +165,30 @@
 	if a == nil {
 		return nil
 	}
-	if stored.Outcome == v1.OutcomeNotRun || len(a.home) == 0 {
-		return m.releaseSoon(ctx, a)
+	if stored.Outcome == v1.OutcomeNotRun || len(a.grantedBy) == 0 {
+		return m.releaseBounded(ctx, a)
 	}
 	if answerSize(stored.Answer) > maxAnswerBytes {
 		stored.Answer = nil
 	}
 	record := Record{ID: a.id, State: StateFinished, Fingerprint: a.fingerprint, Stored: stored}
-	return m.tellMajority(ctx, a.home, m.teller(learnMessage{Key: a.key, Record: record}))
+	return m.callMajority(ctx, a.grantedBy, m.updateCall(learnMessage{Key: a.key, Record: record}))
 }
 
-// releaseSoon releases the claim. It waits at most releaseWait, so that unreachable keepers do not delay a refusal.
-func (m *Manager) releaseSoon(ctx context.Context, a *attempt) error {
+// releaseBounded releases the claim. It waits at most releaseWait, so that unreachable keepers do not delay a refusal.
+func (m *Manager) releaseBounded(ctx context.Context, a *attempt) error {
 	ctx, cancel := context.WithTimeout(ctx, releaseWait)
 	defer cancel()
-	err := m.releaseEverywhere(ctx, a)
+	err := m.releaseAll(ctx, a)
 	if errors.Is(err, context.DeadlineExceeded) {
 		return nil
 	}
 	return err
 }
 
-func (m *Manager) releaseEverywhere(ctx context.Context, a *attempt) error {
+func (m *Manager) releaseAll(ctx context.Context, a *attempt) error {
 	message := releaseMessage{Key: a.key, ID: a.id}
-	return m.tellMajority(ctx, a.nodes, func(ctx context.Context, node cluster.Node) (noteReply, error) {
+	return m.callMajority(ctx, a.nodes, func(ctx context.Context, node cluster.Node) (noteReply, error) {
 		if node.Name == m.params.Self.Name {
 			return m.keeper.release(message), nil
 		}
@@ -196,10 +196,10 @@
 	})
 }
 
-func (m *Manager) teller(message learnMessage) func(context.Context, cluster.Node) (noteReply, error) {
+func (m *Manager) updateCall(message learnMessage) func(context.Context, cluster.Node) (noteReply, error) {
 	return func(ctx context.Context, node cluster.Node) (noteReply, error) {
 		if node.Name == m.params.Self.Name {
-			return m.keeper.learn(message, m.params.Self.Zone), nil
+			return m.keeper.update(message, m.params.Self.Zone), nil
 		}
 		return rpc.Call[learnMessage, noteReply](ctx, m.params.Client, node.Address, message)
 	}
@@ -211,37 +211,37 @@
 	m.mu.Lock()
 	running := make([]attempt, 0, len(m.attempts))
 	for _, a := range m.attempts {
-		if len(a.home) > 0 {
+		if len(a.grantedBy) > 0 {
 			running = append(running, *a)
 		}
 	}
 	m.mu.Unlock()
 	m.spawn(func() {
 		for _, a := range running {
-			if err := m.tellMajority(m.ctx, a.home, m.teller(learnMessage{Key: a.key, Record: heldRecord(a.id, a.fingerprint)})); err != nil {
+			if err := m.callMajority(m.ctx, a.grantedBy, m.updateCall(learnMessage{Key: a.key, Record: runningRecord(a.id, a.fingerprint)})); err != nil {
 				m.metrics.renewFailures.Inc()
 			}
 		}
 	})
 }
 
-// tellMajority sends an update to every node with retries and returns once a majority has recorded it. Remaining calls
+// callMajority sends an update to every node with retries and returns once a majority has recorded it. Remaining calls
 // continue in the background for up to noteWindow.
-func (m *Manager) tellMajority(ctx context.Context, nodes []cluster.Node, call func(context.Context, cluster.Node) (noteReply, error)) error {
+func (m *Manager) callMajority(ctx context.Context, nodes []cluster.Node, call func(context.Context, cluster.Node) (noteReply, error)) error {
 	if len(nodes) == 0 {
 		return nil
 	}
 	answers := make(chan error, len(nodes))
-	callCtx, cancel := context.WithTimeout(m.ctx, noteWindow)
+	callCtx, cancel := context.WithTimeout(m.ctx, updateWindow)
 	started := m.spawn(func() {
 		defer cancel()
-		for answer := range askAll(callCtx, nodes, persistently(call)) {
+		for answer := range broadcast(callCtx, nodes, withRetries(call)) {
 			answers <- answer.err
 		}
 	})
 	if !started {
 		cancel()
-		return errNotNoted
+		return errNotRecorded
 	}
 	return awaitMajority(ctx, answers, len(nodes))
 }
@@ -269,23 +269,23 @@
 	return nil
 }
 
-// persistently retries call with backoff until the node records the update, answers Forbidden, or ctx ends.
-func persistently(call func(context.Context, cluster.Node) (noteReply, error)) func(context.Context, cluster.Node) (noteReply, error) {
+// withRetries retries call with backoff until the node records the update, answers Forbidden, or ctx ends.
+func withRetries(call func(context.Context, cluster.Node) (noteReply, error)) func(context.Context, cluster.Node) (noteReply, error) {
 	return func(ctx context.Context, node cluster.Node) (noteReply, error) {
 		policy := backoff.NewExponentialBackOff()
-		policy.InitialInterval = noteFirstDelay
-		policy.MaxInterval = noteMaxDelay
+		policy.InitialInterval = updateInitialBackoff
+		policy.MaxInterval = updateMaxBackoff
 		return backoff.Retry(ctx, func() (noteReply, error) {
-			callCtx, cancel := context.WithTimeout(ctx, noteAttemptTimeout)
+			callCtx, cancel := context.WithTimeout(ctx, updateCallTimeout)
 			defer cancel()
 			reply, err := call(callCtx, node)
 			switch {
 			case err != nil:
 				return reply, err
 			case reply.Forbidden:
-				return reply, backoff.Permanent(errNotNoted)
+				return reply, backoff.Permanent(errNotRecorded)
 			case !reply.Noted:
-				return reply, errNotNoted
+				return reply, errNotRecorded
 			}
 			return reply, nil
 		}, backoff.WithBackOff(policy), backoff.WithMaxElapsedTime(0))
@@ -325,38 +325,38 @@
 	}
 }
 
-func (m *Manager) setHome(a *attempt, nodes []cluster.Node) {
+func (m *Manager) setGrantedBy(a *attempt, nodes []cluster.Node) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	a.home = nodes
+	a.grantedBy = nodes
 }
 
-// poll counts the keeper sets named by mismatch replies.
-type poll struct {
-	homes  map[string][]cluster.Node
+// keeperSetVotes counts the keeper sets named by mismatch replies.
+type keeperSetVotes struct {
+	sets   map[string][]cluster.Node
 	counts map[string]int
 }
 
-func newPoll() *poll {
-	return &poll{homes: make(map[string][]cluster.Node), counts: make(map[string]int)}
+func newKeeperSetVotes() *keeperSetVotes {
+	return &keeperSetVotes{sets: make(map[string][]cluster.Node), counts: make(map[string]int)}
 }
 
-func (p *poll) add(members []cluster.Node) {
+func (p *keeperSetVotes) add(members []cluster.Node) {
 	if len(members) == 0 {
 		return
 	}
 	label := label(members)
-	p.homes[label] = members
+	p.sets[label] = members
 	p.counts[label]++
 }
 
 // winner returns the keeper set named most often, or nil. Ties are broken by label.
-func (p *poll) winner() []cluster.Node {
+func (p *keeperSetVotes) winner() []cluster.Node {
 	best := ""
 	for label, count := range p.counts {
 		if count > p.counts[best] || (count == p.counts[best] && label < best) {
 			best = label
 		}
 	}
-	return p.homes[best]
+	return p.sets[best]
 }
--- a/internal/claims/cluster_test.go
+++ b/internal/claims/cluster_test.go
@@ -222,7 +222,7 @@
 func (c *testCluster) open() *testCluster {
 	c.eventually("no keeper abstains", func() bool {
 		for _, m := range c.members {
-			if !m.manager.keeper.isOpen() {
+			if !m.manager.keeper.isTableComplete() {
 				return false
 			}
 		}
--- a/internal/claims/guards.go
+++ b/internal/claims/guards.go
@@ -8,8 +8,8 @@
 	noTombstones bool
 	// noAbstaining lets a keeper grant although it may have lost earlier grants.
 	noAbstaining bool
-	// noHomeHistory lets a keeper grant immediately after the keeper set changed.
-	noHomeHistory bool
+	// noKeeperSetHistory lets a keeper grant immediately after the keeper set changed.
+	noKeeperSetHistory bool
 }
 
 // allGuards enforces every rule.
--- a/internal/claims/keeper.go
+++ b/internal/claims/keeper.go
@@ -8,38 +8,38 @@
 	"github.com/covelink/covelink/internal/cluster"
 )
 
-// homeMargin extends how long former keeper sets are retained: a node that has not received a revision may continue to
-// grant for one lease length.
-const homeMargin = time.Minute
+// keeperSetMargin extends how long former keeper sets are retained: a node that has not received a revision may
+// continue to grant for one lease length.
+const keeperSetMargin = time.Minute
 
-// keeper serves claims from one Register and persists them. It grants only when its view, its keeper set history and its
+// keeper serves claims from one Table and persists them. It grants only when its view, its keeper set history and its
 // table allow it.
 type keeper struct {
-	self   cluster.Node
-	source cluster.Source
-	seeds  []cluster.Node
-	limits Limits
-	guards guards
-	now    func() time.Time
-	life   string
+	self      cluster.Node
+	source    cluster.Source
+	seeds     []cluster.Node
+	limits    Limits
+	guards    guards
+	now       func() time.Time
+	processID string
 
-	mu       sync.Mutex
-	register *Register
-	history  homeHistory
-	store    *store // nil without a data folder
-	started  time.Time
+	mu      sync.Mutex
+	table   *Table
+	history keeperSetHistory
+	store   *store // nil without a data folder
+	started time.Time
 	// opened is set once the table holds every claim that this keeper has granted within the retention time.
 	opened bool
 	// used is set once another keeper reported earlier grants, which may be missing from this table.
 	used bool
-	// clearedLives are the peer process IDs that the successful bootstrap of this keeper found new.
-	clearedLives []string
+	// clearedProcesses are the peer process IDs that the successful bootstrap of this keeper found new.
+	clearedProcesses []string
 }
 
 // claim serves a claim from a node in peerZone and returns once the decision is durable.
 func (k *keeper) claim(message claimMessage, peerZone string) claimReply {
 	k.mu.Lock()
-	reply, durable := k.decide(message, peerZone)
+	reply, durable := k.applyClaim(message, peerZone)
 	k.mu.Unlock()
 	if err := await(durable); err != nil {
 		return claimReply{Verdict: verdictStorage}
@@ -47,8 +47,8 @@
 	return reply
 }
 
-// decide applies a claim and returns the pending write. The caller holds the lock.
-func (k *keeper) decide(message claimMessage, peerZone string) (claimReply, <-chan error) {
+// applyClaim applies a claim and returns the pending write. The caller holds the lock.
+func (k *keeper) applyClaim(message claimMessage, peerZone string) (claimReply, <-chan error) {
 	now := k.now()
 	view := k.source.Current()
 	pool := message.Key.Pool
@@ -58,7 +58,7 @@
 	if !view.Permitted(pool, k.self.Zone) || !view.Permitted(pool, peerZone) {
 		return claimReply{Verdict: verdictForbidden}, nil
 	}
-	present := home(view, pool, k.seeds)
+	present := keeperSet(view, pool, k.seeds)
 	members := names(present)
 	k.observe(now, pool, members)
 	if !slices.Equal(members, message.Members) {
@@ -67,7 +67,7 @@
 	if !slices.Contains(members, k.self.Name) || !k.mayGrant(now, pool, members) {
 		return claimReply{Verdict: verdictAbstains}, nil
 	}
-	decision, record, changes := k.register.Claim(now, message.Key, message.ID, message.Fingerprint)
+	decision, record, changes := k.table.Claim(now, message.Key, message.ID, message.Fingerprint)
 	reply := claimReply{Verdict: verdictOf(decision)}
 	if decision == DecisionExisting {
 		reply.Record = record
@@ -92,17 +92,17 @@
 	if !k.guards.noAbstaining && !k.opened {
 		return false
 	}
-	return k.guards.noHomeHistory || k.history.mayGrant(now, pool, members, k.limits.Retention+homeMargin)
+	return k.guards.noKeeperSetHistory || k.history.mayGrant(now, pool, members, k.limits.Retention+keeperSetMargin)
 }
 
-// learn records an update from a claim's holder, also while this keeper abstains.
-func (k *keeper) learn(message learnMessage, peerZone string) noteReply {
+// update records an update from a claim's holder, also while this keeper abstains.
+func (k *keeper) update(message learnMessage, peerZone string) noteReply {
 	k.mu.Lock()
 	if !k.mayHold(message.Key.Pool, peerZone) {
 		k.mu.Unlock()
 		return noteReply{Forbidden: true}
 	}
-	noted, changes := k.register.Learn(k.now(), message.Key, message.Record)
+	noted, changes := k.table.Update(k.now(), message.Key, message.Record)
 	durable := k.persist(write{changes: changes})
 	k.mu.Unlock()
 	return noteReply{Noted: await(durable) == nil && noted}
@@ -111,7 +111,7 @@
 // release removes a claim and records its tombstone.
 func (k *keeper) release(message releaseMessage) noteReply {
 	k.mu.Lock()
-	noted, changes := k.register.Release(k.now(), message.Key, message.ID)
+	noted, changes := k.table.Release(k.now(), message.Key, message.ID)
 	durable := k.persist(write{changes: changes})
 	k.mu.Unlock()
 	return noteReply{Noted: await(durable) == nil && noted}
@@ -122,48 +122,48 @@
 	return view.Permitted(pool, k.self.Zone) && view.Permitted(pool, peerZone)
 }
 
-// start serves a bootstrap query from another keeper.
-func (k *keeper) start(message startMessage) startReply {
+// bootstrapStatus serves a bootstrap query from another keeper.
+func (k *keeper) bootstrapStatus(message startMessage) startReply {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return startReply{Life: k.life, New: !k.opened && !k.used, Cleared: slices.Contains(k.clearedLives, message.Life)}
+	return startReply{Life: k.processID, New: !k.opened && !k.used, Cleared: slices.Contains(k.clearedProcesses, message.Life)}
 }
 
-// tend records changed keeper sets, removes expired entries and stops abstaining once the retention time has passed.
-func (k *keeper) tend() {
+// maintain records changed keeper sets, removes expired entries and stops abstaining once the retention time has passed.
+func (k *keeper) maintain() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.now()
 	view := k.source.Current()
 	k.observeAll(now, view)
-	k.persist(write{changes: k.register.Sweep(now, func(pool string) bool {
+	k.persist(write{changes: k.table.Sweep(now, func(pool string) bool {
 		return view.Revision == 0 || view.Permitted(pool, k.self.Zone)
 	})})
 	if !k.opened && now.Sub(k.started) >= k.limits.Retention {
-		k.open(nil)
+		k.markTableComplete(nil)
 	}
 }
 
-// open stops abstaining. The mark is persisted before any later grant, so that a keeper that has granted never appears
-// new. The caller holds the lock.
-func (k *keeper) open(lives []string) {
+// markTableComplete stops abstaining. The mark is persisted before any later grant, so that a keeper that has granted
+// never appears new. The caller holds the lock.
+func (k *keeper) markTableComplete(lives []string) {
 	k.opened = true
-	k.clearedLives = lives
+	k.clearedProcesses = lives
 	k.persist(write{opened: true})
 }
 
-// clear calls open if the keeper still abstains.
+// clear calls markTableComplete if the keeper still abstains.
 func (k *keeper) clear(lives []string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if !k.opened {
-		k.open(lives)
+		k.markTableComplete(lives)
 	}
 }
 
-// noteUsed records that another keeper is not new, so that this one does not appear new if the others later lose their
-// tables. It reports whether this was not recorded before.
-func (k *keeper) noteUsed() bool {
+// recordPeerGrants records that another keeper is not new, so that this one does not appear new if the others later
+// lose their tables. It reports whether this was not recorded before.
+func (k *keeper) recordPeerGrants() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.used {
@@ -174,28 +174,29 @@
 	return true
 }
 
-func (k *keeper) isUsed() bool {
+func (k *keeper) knowsPeerGrants() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.used
 }
 
-func (k *keeper) isOpen() bool {
+func (k *keeper) isTableComplete() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.opened
 }
 
-// peers returns the other members of every keeper set that contains this keeper. It is not eligible for bootstrap if
-// there is no such set, or if nodes without a disk, which lose their grants on restart, can form a majority of one.
-func (k *keeper) peers() (others []cluster.Node, eligible bool) {
+// bootstrapPeers returns the other members of every keeper set that contains this keeper. It is not eligible for
+// bootstrap if there is no such set, or if nodes without a disk, which lose their grants on restart, can form a majority
+// of one.
+func (k *keeper) bootstrapPeers() (others []cluster.Node, eligible bool) {
 	view := k.source.Current()
 	if !view.Serving {
 		return nil, false
 	}
 	found := make(map[string]cluster.Node)
 	for pool := range view.Pools {
-		members := home(view, pool, k.seeds)
+		members := keeperSet(view, pool, k.seeds)
 		if !slices.ContainsFunc(members, k.isSelf) {
 			continue
 		}
@@ -234,7 +235,7 @@
 		return
 	}
 	for pool := range view.Pools {
-		k.observe(now, pool, names(home(view, pool, k.seeds)))
+		k.observe(now, pool, names(keeperSet(view, pool, k.seeds)))
 	}
 	for pool := range k.history {
 		if _, ok := view.Pools[pool]; !ok {
@@ -245,7 +246,7 @@
 
 // observe records a pool's keeper set. The caller holds the lock.
 func (k *keeper) observe(now time.Time, pool string, members []string) {
-	if k.history.observe(now, pool, members, k.limits.Retention+homeMargin) {
+	if k.history.observe(now, pool, members, k.limits.Retention+keeperSetMargin) {
 		k.persist(write{history: k.history.clone()})
 	}
 }
--- a/internal/claims/keeperset.go
+++ b/internal/claims/keeperset.go
@@ -18,10 +18,10 @@
 	wantedKeepers = 3
 )
 
-// home returns the pool's keeper set, sorted by name: nodes in permitted zones of the region of the pool's first
+// keeperSet returns the pool's keeper set, sorted by name: nodes in permitted zones of the region of the pool's first
 // permitted zone, selected by rendezvous hashing, nodes with a disk preferred. It is empty if the pool is not in the
 // view or the region has no eligible node.
-func home(view *cluster.View, pool string, nodes []cluster.Node) []cluster.Node {
+func keeperSet(view *cluster.View, pool string, nodes []cluster.Node) []cluster.Node {
 	resource, ok := view.Pools[pool]
 	if !ok || len(resource.Spec.PermittedZones) == 0 {
 		return nil
@@ -72,18 +72,18 @@
 	return result
 }
 
-// formerHome is a present or former keeper set of a pool.
-type formerHome struct {
+// keeperSetPeriod is a present or former keeper set of a pool.
+type keeperSetPeriod struct {
 	Members []string
 	// Until is when this keeper saw the set replaced; zero for the present set.
 	Until time.Time
 }
 
-// homeHistory holds the keeper sets of each pool, newest last, while claims that they granted may still be valid.
-type homeHistory map[string][]formerHome
+// keeperSetHistory holds the keeper sets of each pool, newest last, while claims that they granted may still be valid.
+type keeperSetHistory map[string][]keeperSetPeriod
 
 // observe records the pool's present keeper set and reports whether the history changed.
-func (h homeHistory) observe(now time.Time, pool string, members []string, keep time.Duration) bool {
+func (h keeperSetHistory) observe(now time.Time, pool string, members []string, keep time.Duration) bool {
 	past := h[pool]
 	if len(past) > 0 && slices.Equal(past[len(past)-1].Members, members) {
 		return false
@@ -91,14 +91,14 @@
 	if len(past) > 0 {
 		past[len(past)-1].Until = now
 	}
-	past = slices.DeleteFunc(past, func(f formerHome) bool { return !f.Until.IsZero() && now.Sub(f.Until) > keep })
-	h[pool] = append(past, formerHome{Members: members})
+	past = slices.DeleteFunc(past, func(f keeperSetPeriod) bool { return !f.Until.IsZero() && now.Sub(f.Until) > keep })
+	h[pool] = append(past, keeperSetPeriod{Members: members})
 	return true
 }
 
 // mayGrant reports whether every majority of the present set intersects every majority of each set that was in use
 // within keep.
-func (h homeHistory) mayGrant(now time.Time, pool string, members []string, keep time.Duration) bool {
+func (h keeperSetHistory) mayGrant(now time.Time, pool string, members []string, keep time.Duration) bool {
 	for _, former := range h[pool] {
 		recent := former.Until.IsZero() || now.Sub(former.Until) <= keep
 		if recent && !majoritiesMeet(former.Members, members) {
@@ -124,8 +124,8 @@
 }
 
 // clone returns a copy that is safe to read while h is modified.
-func (h homeHistory) clone() homeHistory {
-	copied := make(homeHistory, len(h))
+func (h keeperSetHistory) clone() keeperSetHistory {
+	copied := make(keeperSetHistory, len(h))
 	for pool, past := range h {
 		copied[pool] = slices.Clone(past)
 	}
--- a/internal/claims/manager.go
+++ b/internal/claims/manager.go
@@ -27,12 +27,12 @@
 const (
 	// claimWindow bounds how long a claim collects grants.
 	claimWindow = 2 * time.Second
-	// noteWindow bounds the delivery of one update or release, including retries in the background.
-	noteWindow = 15 * time.Second
-	// startInterval is the time between bootstrap attempts, and the timeout of each.
-	startInterval = 250 * time.Millisecond
-	// tendInterval is the time between maintenance runs. It bounds how long a changed keeper set goes undetected.
-	tendInterval = time.Second
+	// updateWindow bounds the delivery of one update or release, including retries in the background.
+	updateWindow = 15 * time.Second
+	// bootstrapInterval is the time between bootstrap attempts, and the timeout of each.
+	bootstrapInterval = 250 * time.Millisecond
+	// maintenanceInterval is the time between maintenance runs. It bounds how long a changed keeper set goes undetected.
+	maintenanceInterval = time.Second
 	// closeGrace is how long close waits for background work before canceling it.
 	closeGrace = time.Second
 	// renewalsPerRetention is the number of renewals of a running claim per retention time.
@@ -117,15 +117,15 @@
 func newKeeper(params Params) (*keeper, error) {
 	limits := Limits{Retention: params.Retention, MaxEntries: params.MaxEntries, MaxAnswerBytes: params.MaxAnswerBytes}
 	k := &keeper{
-		self:     params.Self,
-		source:   params.Source,
-		seeds:    params.Seeds,
-		limits:   limits,
-		now:      params.Now,
-		life:     uuid.NewString(),
-		register: NewRegister(limits),
-		history:  make(homeHistory),
-		started:  params.Now(),
+		self:      params.Self,
+		source:    params.Source,
+		seeds:     params.Seeds,
+		limits:    limits,
+		now:       params.Now,
+		processID: uuid.NewString(),
+		table:     NewTable(limits),
+		history:   make(keeperSetHistory),
+		started:   params.Now(),
 	}
 	if params.DataDir == "" {
 		return k, nil
@@ -136,7 +136,7 @@
 	}
 	k.store, k.opened, k.used, k.history = opened, content.opened, content.used, content.history
 	for _, c := range content.changes {
-		k.register.restore(c)
+		k.table.restore(c)
 	}
 	return k, nil
 }
@@ -160,13 +160,13 @@
 		return m.answer(message, peer.Zone), nil
 	})
 	rpc.Handle(server, func(_ context.Context, peer rpc.Peer, message learnMessage) (noteReply, error) {
-		return m.keeper.learn(message, peer.Zone), nil
+		return m.keeper.update(message, peer.Zone), nil
 	})
 	rpc.Handle(server, func(_ context.Context, _ rpc.Peer, message releaseMessage) (noteReply, error) {
 		return m.keeper.release(message), nil
 	})
 	rpc.Handle(server, func(_ context.Context, _ rpc.Peer, message startMessage) (startReply, error) {
-		return m.keeper.start(message), nil
+		return m.keeper.bootstrapStatus(message), nil
 	})
 }
 
@@ -180,24 +180,24 @@
 // Run maintains the keeper and renews running claims until ctx ends. It then refuses new claims, waits up to closeGrace
 // for background work, cancels what remains and closes the claims file.
 func (m *Manager) Run(ctx context.Context) error {
-	tend := time.NewTicker(tendInterval)
+	tend := time.NewTicker(maintenanceInterval)
 	defer tend.Stop()
-	start := time.NewTicker(startInterval)
+	start := time.NewTicker(bootstrapInterval)
 	defer start.Stop()
 	renew := time.NewTicker(m.params.Retention / renewalsPerRetention)
 	defer renew.Stop()
-	m.keeper.tend()
+	m.keeper.maintain()
 	for {
 		changed := m.params.Source.Changed()
 		select {
 		case <-ctx.Done():
 			return m.close()
 		case <-tend.C:
-			m.keeper.tend()
+			m.keeper.maintain()
 		case <-changed:
-			m.keeper.tend()
+			m.keeper.maintain()
 		case <-start.C:
-			m.firstStart(ctx)
+			m.bootstrap(ctx)
 		case <-renew.C:
 			m.renew()
 		}
@@ -229,28 +229,28 @@
 	return true
 }
 
-// firstStart stops abstaining if every peer is new, so that no grant can have been lost, or if a peer already found this
+// bootstrap stops abstaining if every peer is new, so that no grant can have been lost, or if a peer already found this
 // process new. A peer with earlier grants is recorded: keepers that lose their disks one after another must not all
 // appear new.
-func (m *Manager) firstStart(ctx context.Context) {
-	if m.keeper.isOpen() {
+func (m *Manager) bootstrap(ctx context.Context) {
+	if m.keeper.isTableComplete() {
 		return
 	}
-	others, eligible := m.keeper.peers()
+	others, eligible := m.keeper.bootstrapPeers()
 	if !eligible {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, startInterval)
+	ctx, cancel := context.WithTimeout(ctx, bootstrapInterval)
 	defer cancel()
-	found := survey{new: true}
-	for reply := range askAll(ctx, others, m.askStart) {
+	found := bootstrapResult{new: true}
+	for reply := range broadcast(ctx, others, m.bootstrapCall) {
 		found.add(reply)
 	}
 	switch {
 	case found.cleared:
 		m.keeper.clear(nil)
 	case found.used:
-		if m.keeper.noteUsed() {
+		if m.keeper.recordPeerGrants() {
 			level.Info(m.params.Logger).Log("msg", "peer has earlier grants, keeper abstains for the retention time")
 		}
 	case found.new:
@@ -259,14 +259,14 @@
 	}
 }
 
-// survey combines the bootstrap replies of the peers.
-type survey struct {
+// bootstrapResult combines the bootstrap replies of the peers.
+type bootstrapResult struct {
 	// cleared: a peer has found this process new. used: a peer has earlier grants. new: every peer replied that it is new.
 	cleared, used, new bool
 	lives              []string
 }
 
-func (s *survey) add(reply answerOf[startReply]) {
+func (s *bootstrapResult) add(reply nodeReply[startReply]) {
 	switch {
 	case reply.err != nil:
 		s.new = false
@@ -278,6 +278,6 @@
 	s.lives = append(s.lives, reply.value.Life)
 }
 
-func (m *Manager) askStart(ctx context.Context, node cluster.Node) (startReply, error) {
-	return rpc.Call[startMessage, startReply](ctx, m.params.Client, node.Address, startMessage{Life: m.keeper.life})
+func (m *Manager) bootstrapCall(ctx context.Context, node cluster.Node) (startReply, error) {
+	return rpc.Call[startMessage, startReply](ctx, m.params.Client, node.Address, startMessage{Life: m.keeper.processID})
 }
--- a/internal/claims/manager_test.go
+++ b/internal/claims/manager_test.go
@@ -111,7 +111,7 @@
 func (k *keeper) recordOf(request gateway.ClaimRequest) *Record {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	record, ok := k.register.lookup(k.now(), Key{Caller: request.Caller, Pool: request.Pool, Key: request.Key})
+	record, ok := k.table.lookup(k.now(), Key{Caller: request.Caller, Pool: request.Pool, Key: request.Key})
 	if !ok {
 		return nil
 	}
@@ -218,7 +218,7 @@
 		c.mustClaim(0, running)
 		Convey("and again after a restart, but they receive renewals of running claims", func() {
 			c.restart(1)
-			So(c.members[1].manager.keeper.isOpen(), ShouldBeFalse)
+			So(c.members[1].manager.keeper.isTableComplete(), ShouldBeFalse)
 			c.members[0].manager.renew()
 			c.eventually("the restarted keeper has the claim", func() bool {
 				return c.members[1].manager.keeper.recordOf(running) != nil
@@ -234,8 +234,8 @@
 		c.members[1].stop()
 		So(os.Remove(filepath.Join(c.members[1].dataDir, storeFile)), ShouldBeNil)
 		c.start(1)
-		c.members[1].manager.firstStart(context.Background())
-		So(c.members[1].manager.keeper.isOpen(), ShouldBeFalse)
+		c.members[1].manager.bootstrap(context.Background())
+		So(c.members[1].manager.keeper.isTableComplete(), ShouldBeFalse)
 		c.links.isolate(c.seeds[0].Address)
 		// One remaining keeper has the claim; the other lost it and abstains.
 		for index := 1; index < 3; index++ {
@@ -244,7 +244,7 @@
 			So(result.State, ShouldEqual, gateway.ClaimExisting)
 		}
 		c.clock.advance(testRetention)
-		c.eventually("the keeper stops abstaining after the retention time", c.members[1].manager.keeper.isOpen)
+		c.eventually("the keeper stops abstaining after the retention time", c.members[1].manager.keeper.isTableComplete)
 	})
 	Convey("Keepers that lose their disks one after another do not all appear new", t, func() {
 		c := newCluster(t, threeZones, true).open()
@@ -254,8 +254,8 @@
 			So(os.Remove(filepath.Join(c.members[index].dataDir, storeFile)), ShouldBeNil)
 			c.start(index)
 			c.eventually("the restarted keeper records earlier grants", func() bool {
-				c.members[index].manager.firstStart(context.Background())
-				return c.members[index].manager.keeper.isUsed()
+				c.members[index].manager.bootstrap(context.Background())
+				return c.members[index].manager.keeper.knowsPeerGrants()
 			})
 		}
 		for index := range c.members {
@@ -263,7 +263,7 @@
 			So(refusalOf(err).Message, ShouldContainSubstring, "abstain")
 		}
 		c.restart(0)
-		So(c.members[0].manager.keeper.isUsed(), ShouldBeTrue)
+		So(c.members[0].manager.keeper.knowsPeerGrants(), ShouldBeTrue)
 	})
 	Convey("A single node grants at once with a disk, and after the retention time without", t, func() {
 		withDisk := newCluster(t, threeZones[:1], true).open()
@@ -308,13 +308,13 @@
 			return view
 		})
 		c.eventually("the answer is dropped", func() bool { return keeper.recordOf(request).Stored.Answer == nil })
-		So(keeper.learn(learnMessage{Key: Key{Pool: testPool}, Record: heldRecord("x", 1)}, "zone-1").Forbidden, ShouldBeTrue)
+		So(keeper.update(learnMessage{Key: Key{Pool: testPool}, Record: runningRecord("x", 1)}, "zone-1").Forbidden, ShouldBeTrue)
 		reply := keeper.claim(claimMessage{Key: Key{Pool: testPool, Key: "n"}, ID: "x", Members: names(c.seeds)}, "zone-1")
 		So(reply.Verdict, ShouldEqual, verdictForbidden)
 	})
 	Convey("A claim is refused as not run when the table is full", t, func() {
 		c := newCluster(t, threeZones[:1], true).open()
-		c.members[0].manager.keeper.register.limits.MaxEntries = 1
+		c.members[0].manager.keeper.table.limits.MaxEntries = 1
 		c.mustClaim(0, requestOf("k"))
 		_, err := c.claimAt(0, requestOf("k2"))
 		So(refusalOf(err).Code, ShouldEqual, v1.CodeOverloaded)
--- a/internal/claims/metrics.go
+++ b/internal/claims/metrics.go
@@ -37,9 +37,9 @@
 	if registerer != nil {
 		registerer.MustRegister(m.claims, m.seconds, m.verdicts, m.renewFailures,
 			tableGauge("covelink_claims_table_entries", "Claims and tombstones that this keeper holds.", k,
-				func() float64 { return float64(k.register.Entries()) }),
+				func() float64 { return float64(k.table.Entries()) }),
 			tableGauge("covelink_claims_answer_bytes", "Size of the answers that this keeper holds.", k,
-				func() float64 { return float64(k.register.AnswerBytes()) }),
+				func() float64 { return float64(k.table.AnswerBytes()) }),
 			tableGauge("covelink_claims_abstaining", "1 while this keeper grants nothing because it may have forgotten claims.", k,
 				func() float64 {
 					if k.opened {
--- a/internal/claims/model_test.go
+++ b/internal/claims/model_test.go
@@ -36,7 +36,7 @@
 	finished bool
 }
 
-func (w *world) note(call, end int64, input modelInput, output modelOutput) {
+func (w *simulation) note(call, end int64, input modelInput, output modelOutput) {
 	w.history = append(w.history, porcupine.Operation{ClientId: len(w.history), Input: input, Call: call, Output: output, Return: end})
 }
 
@@ -62,7 +62,7 @@
 
 // check runs a schedule and returns the violation found; empty if none.
 func check(pick func(n int) int, injected faults) string {
-	w := newWorld(pick, injected)
+	w := newSimulation(pick, injected)
 	w.run()
 	if w.violation == "" && !injected.long && porcupine.CheckOperationsTimeout(keyModel, w.history, waitLimit) != porcupine.Ok {
 		return "the history is not linearizable"
@@ -83,7 +83,7 @@
 		granted := 0
 		for seed := range uint64(3000) {
 			random := rand.New(rand.NewPCG(seed, 1))
-			w := newWorld(random.IntN, faults{long: seed%2 == 0})
+			w := newSimulation(random.IntN, faults{long: seed%2 == 0})
 			w.run()
 			if w.violation != "" {
 				t.Fatalf("seed %d: %s", seed, w.violation)
--- a/internal/claims/simulation_test.go
+++ b/internal/claims/simulation_test.go
@@ -41,7 +41,7 @@
 // modelClaimant is a claim attempt of one gateway.
 type modelClaimant struct {
 	id      string
-	votes   *tally
+	votes   *voteCounter
 	started time.Time
 	heard   map[int]bool
 	decided bool
@@ -52,8 +52,8 @@
 	call     int64
 }
 
-// world simulates keepers and claimants of one key over a network that loses, repeats, delays and reorders messages.
-type world struct {
+// simulation models keepers and claimants of one key on a network that loses, repeats, delays and reorders messages.
+type simulation struct {
 	pick      func(n int) int
 	faults    faults
 	clock     *fakeClock
@@ -68,8 +68,8 @@
 	violation string
 }
 
-func newWorld(pick func(n int) int, injected faults) *world {
-	w := &world{pick: pick, faults: injected, clock: newClock(), source: cluster.NewHolder()}
+func newSimulation(pick func(n int) int, injected faults) *simulation {
+	w := &simulation{pick: pick, faults: injected, clock: newClock(), source: cluster.NewHolder()}
 	w.source.Update(func(*cluster.View) *cluster.View { return viewOf("zone-1") })
 	count := 2 + pick(4)
 	for index := range count {
@@ -83,16 +83,16 @@
 	return w
 }
 
-func (w *world) newKeeper(index int) *keeper {
+func (w *simulation) newKeeper(index int) *keeper {
 	limits := Limits{Retention: modelRetention, MaxEntries: 1000, MaxAnswerBytes: 1 << 20}
-	register := NewRegister(limits)
+	register := NewTable(limits)
 	register.guards = w.faults.guards
 	return &keeper{self: w.seeds[index], source: w.source, seeds: w.seeds, limits: limits, guards: w.faults.guards,
-		now: w.clock.Now, register: register, history: make(homeHistory), started: w.clock.Now()}
+		now: w.clock.Now, table: register, history: make(keeperSetHistory), started: w.clock.Now()}
 }
 
 // run takes modelSteps random steps, or stops at a violation.
-func (w *world) run() {
+func (w *simulation) run() {
 	for range modelSteps {
 		w.tick++
 		w.step()
@@ -103,7 +103,7 @@
 	w.settle()
 }
 
-func (w *world) step() {
+func (w *simulation) step() {
 	switch w.pick(14) {
 	case 0:
 		w.startClaimant()
@@ -123,24 +123,24 @@
 	w.expire()
 }
 
-func (w *world) startClaimant() {
+func (w *simulation) startClaimant() {
 	if len(w.claimants) >= 8 {
 		return
 	}
 	c := &modelClaimant{id: fmt.Sprint("claim-", len(w.claimants)), started: w.clock.Now(), heard: make(map[int]bool), call: w.tick}
-	c.votes = newTally(len(w.keepers), w.faults.guards)
+	c.votes = newVoteCounter(len(w.keepers), w.faults.guards)
 	w.claimants = append(w.claimants, c)
 	if w.faults.sendBeforeClaim {
 		w.execute(c)
 	}
-	message := &claimMessage{Key: modelKey, ID: c.id, Members: names(home(w.source.Current(), testPool, w.seeds))}
+	message := &claimMessage{Key: modelKey, ID: c.id, Members: names(keeperSet(w.source.Current(), testPool, w.seeds))}
 	for index := range w.keepers {
 		w.packets = append(w.packets, packet{to: index, sent: w.clock.Now(), claim: message, claimant: c})
 	}
 }
 
 // execute marks a claim as run and records a violation if another one ran within the retention time.
-func (w *world) execute(c *modelClaimant) {
+func (w *simulation) execute(c *modelClaimant) {
 	for _, other := range w.claimants {
 		if other != c && other.ran && c.started.Sub(other.started) < modelRetention-modelWindow {
 			w.violation = fmt.Sprintf("%s and %s both ran", other.id, c.id)
@@ -150,7 +150,7 @@
 }
 
 // deliver delivers a random packet; with again it stays in flight, to be delivered once more.
-func (w *world) deliver(again bool) {
+func (w *simulation) deliver(again bool) {
 	if len(w.packets) == 0 {
 		return
 	}
@@ -165,7 +165,7 @@
 	w.handle(p)
 }
 
-func (w *world) handle(p packet) {
+func (w *simulation) handle(p packet) {
 	switch {
 	case p.reply != nil:
 		w.answered(p)
@@ -173,13 +173,13 @@
 		reply := w.keepers[p.to].claim(*p.claim, "zone-1")
 		w.packets = append(w.packets, packet{to: p.to, sent: w.clock.Now(), reply: &reply, claimant: p.claimant})
 	case p.learn != nil:
-		w.keepers[p.to].learn(*p.learn, "zone-1")
+		w.keepers[p.to].update(*p.learn, "zone-1")
 	case p.release != nil:
 		w.keepers[p.to].release(*p.release)
 	}
 }
 
-func (w *world) answered(p packet) {
+func (w *simulation) answered(p packet) {
 	c := p.claimant
 	if c.decided || c.heard[p.to] {
 		return
@@ -190,14 +190,14 @@
 }
 
 // decide acts on the vote as Manager does.
-func (w *world) decide(c *modelClaimant) {
+func (w *simulation) decide(c *modelClaimant) {
 	outcome := c.votes.result()
 	if outcome == resultOpen {
 		return
 	}
 	c.decided = true
-	w.note(c.call, w.tick, modelInput{kind: inputClaim, id: c.id}, modelOutput{result: outcome, holder: c.votes.seen.ID,
-		text: textOf(c.votes.seen.Stored.Answer)})
+	w.note(c.call, w.tick, modelInput{kind: inputClaim, id: c.id}, modelOutput{result: outcome, holder: c.votes.existingRecord.ID,
+		text: textOf(c.votes.existingRecord.Stored.Answer)})
 	if outcome == resultGranted {
 		w.execute(c)
 		return
@@ -213,7 +213,7 @@
 }
 
 // finishOne ends a granted claim: completed, not run, or its gateway fails.
-func (w *world) finishOne() {
+func (w *simulation) finishOne() {
 	if len(w.claimants) == 0 {
 		return
 	}
@@ -234,12 +234,12 @@
 	}
 }
 
-func (w *world) release(c *modelClaimant) {
+func (w *simulation) release(c *modelClaimant) {
 	c.released = true
 	w.tell(packet{release: &releaseMessage{Key: modelKey, ID: c.id}})
 }
 
-func (w *world) tell(p packet) {
+func (w *simulation) tell(p packet) {
 	for index := range w.keepers {
 		p.to, p.sent = index, w.clock.Now()
 		w.packets = append(w.packets, p)
@@ -247,10 +247,10 @@
 }
 
 // crash stops a keeper.
-func (w *world) crash() { w.down[w.pick(len(w.keepers))] = true }
+func (w *simulation) crash() { w.down[w.pick(len(w.keepers))] = true }
 
 // recover restarts a stopped keeper, with or without its table.
-func (w *world) recover() {
+func (w *simulation) recover() {
 	index := w.pick(len(w.keepers))
 	if !w.down[index] {
 		return
@@ -261,7 +261,7 @@
 	}
 }
 
-func (w *world) passTime() {
+func (w *simulation) passTime() {
 	by := modelWindow / 8
 	if w.faults.long {
 		by = modelRetention / time.Duration(2+w.pick(20))
@@ -269,13 +269,13 @@
 	w.clock.advance(by)
 	for index, k := range w.keepers {
 		if !w.down[index] {
-			k.tend()
+			k.maintain()
 		}
 	}
 }
 
 // lose drops a random packet unless it is a release, since releases are retried until they arrive.
-func (w *world) lose() {
+func (w *simulation) lose() {
 	if len(w.packets) == 0 {
 		return
 	}
@@ -286,7 +286,7 @@
 }
 
 // expire closes the votes whose claim window has ended and drops packets close to the retention time.
-func (w *world) expire() {
+func (w *simulation) expire() {
 	now := w.clock.Now()
 	for _, c := range w.claimants {
 		if !c.decided && now.Sub(c.started) >= modelWindow {
@@ -304,7 +304,7 @@
 }
 
 // settle delivers all packets. If every claim was released and none ran, the key must be free at every keeper.
-func (w *world) settle() {
+func (w *simulation) settle() {
 	for index := range w.down {
 		w.down[index] = false
 	}
@@ -321,7 +321,7 @@
 		return // a release may have expired while its keeper was down
 	}
 	for _, k := range w.keepers {
-		if _, held := k.register.lookup(w.clock.Now(), modelKey); held && w.violation == "" {
+		if _, held := k.table.lookup(w.clock.Now(), modelKey); held && w.violation == "" {
 			w.violation = "every claim was released, but a keeper still holds one"
 		}
 	}
--- a/internal/claims/store.go
+++ b/internal/claims/store.go
@@ -62,14 +62,14 @@
 // loaded is the content of a claims file.
 type loaded struct {
 	changes []change
-	history homeHistory
+	history keeperSetHistory
 	// opened is set if the keeper has been allowed to grant before, so that the table is complete.
 	opened bool
 	// used is set if another keeper has reported earlier grants.
 	used bool
 }
 
-// store persists a Register. Writes are committed in enqueue order, all pending ones in one transaction.
+// store persists a Table. Writes are committed in enqueue order, all pending ones in one transaction.
 type store struct {
 	db *bolt.DB
 
@@ -84,7 +84,7 @@
 // write is a set of changes that is committed atomically.
 type write struct {
 	changes []change
-	history homeHistory
+	history keeperSetHistory
 	opened  bool
 	used    bool
 	result  chan error // buffered, receives exactly once
@@ -132,7 +132,7 @@
 }
 
 func load(db *bolt.DB) (loaded, error) {
-	content := loaded{history: make(homeHistory)}
+	content := loaded{history: make(keeperSetHistory)}
 	err := db.Update(func(tx *bolt.Tx) error {
 		for _, name := range allBuckets {
 			if _, err := tx.CreateBucketIfNotExists(name); err != nil {
@@ -158,7 +158,7 @@
 	content.opened = meta.Get(keyOpened) != nil
 	content.used = meta.Get(keyUsed) != nil
 	if history := meta.Get(keyHistory); history != nil {
-		return unseal(history, &content.history)
+		return decodeWithChecksum(history, &content.history)
 	}
 	return nil
 }
@@ -166,7 +166,7 @@
 func loadTable(tx *bolt.Tx, content *loaded) error {
 	err := tx.Bucket(bucketRecords).ForEach(func(_, value []byte) error {
 		var entry diskRecord
-		if err := unseal(value, &entry); err != nil {
+		if err := decodeWithChecksum(value, &entry); err != nil {
 			return err
 		}
 		content.changes = append(content.changes, change{key: entry.Key, record: &entry.Record})
@@ -177,7 +177,7 @@
 	}
 	return tx.Bucket(bucketTombstones).ForEach(func(id, value []byte) error {
 		var until time.Time
-		if err := unseal(value, &until); err != nil {
+		if err := decodeWithChecksum(value, &until); err != nil {
 			return err
 		}
 		content.changes = append(content.changes, change{tombstone: string(id), until: until})
@@ -270,7 +270,7 @@
 	if w.history == nil {
 		return nil
 	}
-	sealed, err := seal(w.history)
+	sealed, err := encodeWithChecksum(w.history)
 	if err != nil {
 		return err
 	}
@@ -285,7 +285,7 @@
 	if c.record == nil {
 		return records.Delete(diskKey(c.key))
 	}
-	sealed, err := seal(diskRecord{Key: c.key, Record: *c.record})
+	sealed, err := encodeWithChecksum(diskRecord{Key: c.key, Record: *c.record})
 	if err != nil {
 		return err
 	}
@@ -296,7 +296,7 @@
 	if c.until.IsZero() {
 		return tombstones.Delete([]byte(c.tombstone))
 	}
-	sealed, err := seal(c.until)
+	sealed, err := encodeWithChecksum(c.until)
 	if err != nil {
 		return err
 	}
@@ -326,8 +326,8 @@
 	return sum[:]
 }
 
-// seal encodes a value with gob and prepends its checksum.
-func seal(value any) ([]byte, error) {
+// encodeWithChecksum encodes a value with gob and prepends its checksum.
+func encodeWithChecksum(value any) ([]byte, error) {
 	var buffer bytes.Buffer
 	buffer.Write(make([]byte, checksumBytes))
 	if err := gob.NewEncoder(&buffer).Encode(value); err != nil {
@@ -338,8 +338,8 @@
 	return sealed, nil
 }
 
-// unseal verifies and decodes the output of seal. It returns ErrCorrupt if either fails.
-func unseal(sealed []byte, value any) error {
+// decodeWithChecksum verifies and decodes the output of encodeWithChecksum. It returns ErrCorrupt if either fails.
+func decodeWithChecksum(sealed []byte, value any) error {
 	if len(sealed) < checksumBytes {
 		return ErrCorrupt
 	}
--- a/internal/claims/store_test.go
+++ b/internal/claims/store_test.go
@@ -21,10 +21,10 @@
 		So(err, ShouldBeNil)
 		So(content.opened, ShouldBeFalse)
 		until := time.Unix(50, 0).UTC()
-		kept := heldRecord("a", 3)
+		kept := runningRecord("a", 3)
 		kept.Expires = until
 		gone := Key{Key: "gone"}
-		history := homeHistory{testPool: {{Members: []string{"n"}}}}
+		history := keeperSetHistory{testPool: {{Members: []string{"n"}}}}
 		steps := []write{
 			{changes: []change{{key: modelKey, record: &kept}, {key: gone, record: &kept}}, opened: true},
 			{changes: []change{{key: gone}, {tombstone: "b", until: until}}, history: history},
@@ -63,7 +63,7 @@
 			So(errors.Is(err, ErrCorrupt), ShouldBeTrue)
 			manager, err := New(Params{DataDir: folder, Source: cluster.NewHolder()})
 			So(err, ShouldBeNil)
-			So(manager.keeper.isOpen(), ShouldBeFalse)
+			So(manager.keeper.isTableComplete(), ShouldBeFalse)
 			So(manager.close(), ShouldBeNil)
 			files, err := os.ReadDir(folder)
 			So(err, ShouldBeNil)
@@ -85,9 +85,9 @@
 func TestBounds(t *testing.T) {
 	Convey("Answers beyond MaxAnswerBytes are evicted, oldest first, and their outcomes stay", t, func() {
 		now := time.Unix(1, 0)
-		r := NewRegister(Limits{Retention: time.Minute, MaxEntries: 10, MaxAnswerBytes: 400})
+		r := NewTable(Limits{Retention: time.Minute, MaxEntries: 10, MaxAnswerBytes: 400})
 		for _, id := range []string{"a", "b", "c"} {
-			r.Learn(now, Key{Key: id}, Record{ID: id, State: StateFinished, Stored: completedWith("text")})
+			r.Update(now, Key{Key: id}, Record{ID: id, State: StateFinished, Stored: completedWith("text")})
 		}
 		So(r.AnswerBytes(), ShouldBeLessThanOrEqualTo, 400)
 		oldest, _ := r.lookup(now, Key{Key: "a"})
--- a/internal/claims/table.go
+++ b/internal/claims/table.go
@@ -36,13 +36,13 @@
 	Expires time.Time
 }
 
-// heldRecord returns the record of a claim that may be running.
-func heldRecord(id string, fingerprint uint64) Record {
+// runningRecord returns the record of a claim that may be running.
+func runningRecord(id string, fingerprint uint64) Record {
 	unknown := gateway.StoredOutcome{Outcome: v1.OutcomeUnknown}
 	return Record{ID: id, State: StateClaimed, Fingerprint: fingerprint, Stored: unknown}
 }
 
-// Decision is the result of Register.Claim.
+// Decision is the result of Table.Claim.
 type Decision int
 
 // The decisions.
@@ -57,7 +57,7 @@
 	DecisionFull
 )
 
-// change is one mutation of a Register, to be persisted by a store.
+// change is one mutation of a Table, to be persisted by a store.
 type change struct {
 	key Key
 	// record is the new record of key; nil removes it.
@@ -68,7 +68,7 @@
 	until time.Time
 }
 
-// Limits are the limits of a Register.
+// Limits are the limits of a Table.
 type Limits struct {
 	// Retention is how long a record or tombstone is kept after its last change.
 	Retention time.Duration
@@ -78,9 +78,9 @@
 	MaxAnswerBytes int64
 }
 
-// Register is the claim table of one keeper: a deterministic state machine that reads no clock and does no I/O. It is
+// Table is the claim table of one keeper: a deterministic state machine that reads no clock and does no I/O. It is
 // not safe for concurrent use.
-type Register struct {
+type Table struct {
 	limits     Limits
 	guards     guards
 	records    map[Key]*Record
@@ -90,9 +90,9 @@
 	answerBytes int64
 }
 
-// NewRegister returns an empty Register.
-func NewRegister(limits Limits) *Register {
-	return &Register{
+// NewTable returns an empty Table.
+func NewTable(limits Limits) *Table {
+	return &Table{
 		limits:     limits,
 		guards:     allGuards,
 		records:    make(map[Key]*Record),
@@ -101,15 +101,15 @@
 }
 
 // Entries returns the number of records and tombstones.
-func (r *Register) Entries() int { return len(r.records) + len(r.tombstones) }
+func (r *Table) Entries() int { return len(r.records) + len(r.tombstones) }
 
 // AnswerBytes returns the approximate size of the stored answers in bytes.
-func (r *Register) AnswerBytes() int64 { return r.answerBytes }
+func (r *Table) AnswerBytes() int64 { return r.answerBytes }
 
 // Claim grants the key to the claim ID unless another claim holds it, and returns the resulting record of the key.
 // A retry by the holder of an unfinished claim is granted again.
-func (r *Register) Claim(now time.Time, key Key, id string, fingerprint uint64) (Decision, Record, []change) {
-	if r.buried(now, id) {
+func (r *Table) Claim(now time.Time, key Key, id string, fingerprint uint64) (Decision, Record, []change) {
+	if r.isReleased(now, id) {
 		return DecisionReleased, Record{}, nil
 	}
 	if held, ok := r.lookup(now, key); ok {
@@ -121,16 +121,16 @@
 	if r.Entries() >= r.limits.MaxEntries {
 		return DecisionFull, Record{}, nil
 	}
-	record := heldRecord(id, fingerprint)
+	record := runningRecord(id, fingerprint)
 	record.Expires = now.Add(r.limits.Retention)
 	return DecisionGranted, record, []change{r.put(key, record)}
 }
 
-// Learn applies a renewal or the final outcome of a granted claim. It returns false if the table is full. Finished and
+// Update applies a renewal or the final outcome of a granted claim. It returns false if the table is full. Finished and
 // released claims stay as they are. A final outcome replaces another unfinished claim, which has only a minority; a
 // renewal does not, as it may be delayed and the other claim granted since.
-func (r *Register) Learn(now time.Time, key Key, stated Record) (bool, []change) {
-	if r.buried(now, stated.ID) {
+func (r *Table) Update(now time.Time, key Key, stated Record) (bool, []change) {
+	if r.isReleased(now, stated.ID) {
 		return true, nil
 	}
 	held, ok := r.lookup(now, key)
@@ -150,7 +150,7 @@
 
 // Release removes an unfinished claim and records a tombstone that rejects delayed messages of it. It returns false if
 // the table has no room for the tombstone.
-func (r *Register) Release(now time.Time, key Key, id string) (bool, []change) {
+func (r *Table) Release(now time.Time, key Key, id string) (bool, []change) {
 	var changes []change
 	if held, ok := r.lookup(now, key); ok && held.ID == id {
 		if held.State == StateFinished {
@@ -171,7 +171,7 @@
 }
 
 // Sweep removes expired entries, and the answers of pools for which keep returns false.
-func (r *Register) Sweep(now time.Time, keep func(pool string) bool) []change {
+func (r *Table) Sweep(now time.Time, keep func(pool string) bool) []change {
 	var changes []change
 	for key, record := range r.records {
 		switch {
@@ -192,7 +192,7 @@
 }
 
 // restore applies a change read from a store.
-func (r *Register) restore(c change) {
+func (r *Table) restore(c change) {
 	if c.tombstone != "" {
 		r.tombstones[c.tombstone] = c.until
 		return
@@ -200,12 +200,12 @@
 	r.put(c.key, *c.record)
 }
 
-func (r *Register) buried(now time.Time, id string) bool {
+func (r *Table) isReleased(now time.Time, id string) bool {
 	until, ok := r.tombstones[id]
 	return ok && now.Before(until)
 }
 
-func (r *Register) lookup(now time.Time, key Key) (*Record, bool) {
+func (r *Table) lookup(now time.Time, key Key) (*Record, bool) {
 	record, ok := r.records[key]
 	if !ok || !now.Before(record.Expires) {
 		return nil, false
@@ -213,7 +213,7 @@
 	return record, true
 }
 
-func (r *Register) put(key Key, record Record) change {
+func (r *Table) put(key Key, record Record) change {
 	r.remove(key)
 	kept := record
 	r.records[key] = &kept
@@ -224,7 +224,7 @@
 	return change{key: key, record: &record}
 }
 
-func (r *Register) remove(key Key) {
+func (r *Table) remove(key Key) {
 	if record, ok := r.records[key]; ok {
 		r.answerBytes -= answerSize(record.Stored.Answer)
 		delete(r.records, key)
@@ -232,14 +232,14 @@
 }
 
 // dropAnswer removes the answer and keeps the outcome. It replaces the record, since a store may be reading the old one.
-func (r *Register) dropAnswer(key Key, record *Record) change {
+func (r *Table) dropAnswer(key Key, record *Record) change {
 	bare := *record
 	bare.Stored.Answer = nil
 	return r.put(key, bare)
 }
 
 // trimAnswers evicts the oldest answers until MaxAnswerBytes is met.
-func (r *Register) trimAnswers() []change {
+func (r *Table) trimAnswers() []change {
 	var changes []change
 	for r.answerBytes > r.limits.MaxAnswerBytes && len(r.answers) > 0 {
 		key := r.answers[0]
--- a/internal/claims/votecounter.go
+++ b/internal/claims/votecounter.go
@@ -19,8 +19,8 @@
 	resultFailed
 )
 
-// tally counts the replies of one keeper set to a claim.
-type tally struct {
+// voteCounter counts the replies of one keeper set to a claim.
+type voteCounter struct {
 	guards  guards
 	members int
 	granted int
@@ -29,18 +29,18 @@
 	silent   int
 	// holders counts, per other claim ID, the keepers where it holds the key.
 	holders map[string]int
-	// seen is the first record of another claim with the most advanced state.
-	seen Record
+	// existingRecord is the first record of another claim with the most advanced state.
+	existingRecord Record
 	// refusals counts replies that are neither grants nor existing claims.
 	refusals map[verdict]int
 }
 
-func newTally(members int, rules guards) *tally {
-	return &tally{guards: rules, members: members, holders: make(map[string]int), refusals: make(map[verdict]int)}
+func newVoteCounter(members int, rules guards) *voteCounter {
+	return &voteCounter{guards: rules, members: members, holders: make(map[string]int), refusals: make(map[verdict]int)}
 }
 
 // add counts one reply; failed means that the call to the keeper failed.
-func (t *tally) add(reply claimReply, failed bool) {
+func (t *voteCounter) add(reply claimReply, failed bool) {
 	t.answered++
 	switch {
 	case failed:
@@ -49,8 +49,8 @@
 		t.granted++
 	case reply.Verdict == verdictExisting:
 		t.holders[reply.Record.ID]++
-		if t.seen.State < reply.Record.State {
-			t.seen = reply.Record
+		if t.existingRecord.State < reply.Record.State {
+			t.existingRecord = reply.Record
 		}
 	default:
 		t.silent++
@@ -59,33 +59,33 @@
 }
 
 // end counts the keepers without a reply as silent.
-func (t *tally) end() {
+func (t *voteCounter) end() {
 	t.silent += t.members - t.answered
 	t.answered = t.members
 }
 
 // result returns the state of the vote. A finished record decides at once, since its holder had a majority. A claim
 // without a majority fails only if no other claim can have one.
-func (t *tally) result() result {
+func (t *voteCounter) result() result {
 	majority := t.guards.majority(t.members)
 	waiting := t.members - t.answered
 	switch {
 	case t.granted >= majority:
 		return resultGranted
-	case t.seen.State == StateFinished:
+	case t.existingRecord.State == StateFinished:
 		return resultFinished
-	case t.mostHeld() >= majority:
+	case t.maxOtherGrants() >= majority:
 		return resultHeld
 	case waiting > 0:
 		return resultOpen
-	case t.mostHeld() > 0 && t.mostHeld()+t.silent >= majority:
+	case t.maxOtherGrants() > 0 && t.maxOtherGrants()+t.silent >= majority:
 		return resultHeld
 	}
 	return resultFailed
 }
 
-// mostHeld returns the highest number of keepers held by one other claim.
-func (t *tally) mostHeld() int {
+// maxOtherGrants returns the highest number of keepers held by one other claim.
+func (t *voteCounter) maxOtherGrants() int {
 	most := 0
 	for _, count := range t.holders {
 		most = max(most, count)
@@ -94,6 +94,6 @@
 }
 
 // existing returns the gateway result for a key held by another claim.
-func (t *tally) existing() gateway.ClaimResult {
-	return gateway.ClaimResult{State: gateway.ClaimExisting, Stored: t.seen.Stored, Fingerprint: t.seen.Fingerprint}
+func (t *voteCounter) existing() gateway.ClaimResult {
+	return gateway.ClaimResult{State: gateway.ClaimExisting, Stored: t.existingRecord.Stored, Fingerprint: t.existingRecord.Fingerprint}
 }
--- a/internal/claims/votes.go
+++ b/internal/claims/votes.go
@@ -19,10 +19,10 @@
 
 // Votes counts the replies of one keeper set as a Manager does, for callers with their own transport, such as a
 // simulation.
-type Votes struct{ tally *tally }
+type Votes struct{ tally *voteCounter }
 
 // NewVotes returns the vote of a claim without replies.
-func NewVotes(members int) *Votes { return &Votes{tally: newTally(members, allGuards)} }
+func NewVotes(members int) *Votes { return &Votes{tally: newVoteCounter(members, allGuards)} }
 
 // Add counts a keeper's decision. The record is used with DecisionExisting only.
 func (v *Votes) Add(decision Decision, record Record) {
@@ -39,4 +39,4 @@
 func (v *Votes) Result() VoteResult { return VoteResult(v.tally.result()) }
 
 // Seen returns the first record of another claim with the most advanced state.
-func (v *Votes) Seen() Record { return v.tally.seen }
+func (v *Votes) Seen() Record { return v.tally.existingRecord }
