--- a/internal/claims/claim.go
+++ b/internal/claims/claim.go
@@ -61,18 +61,18 @@
 		return gateway.ClaimResult{}, v1.NotRun(v1.CodeUnavailable, retryAfterUnreachable, "the pool has no claim keepers")
 	}
 	a := &attempt{key: key, id: request.ID, fingerprint: request.Fingerprint}
-	if !m.track(a) {
+	if !m.addAttempt(a) {
 		return gateway.ClaimResult{}, v1.NotRun(v1.CodeUnavailable, retryAfterUnreachable, "the node is stopping")
 	}
 	votes, other := m.collectVotes(ctx, a, keepers, view.Revision)
-	if usable(view, key.Pool, other) && votes.result() == resultFailed && ctx.Err() == nil {
+	if validKeeperSet(view, key.Pool, other) && votes.result() == resultFailed && ctx.Err() == nil {
 		votes, _ = m.collectVotes(ctx, a, other, view.Revision)
 	}
-	return m.conclude(ctx, a, votes)
+	return m.claimResult(ctx, a, votes)
 }
 
-// usable reports whether a keeper set returned by keepers is non-empty, of valid size and entirely in permitted zones.
-func usable(view *cluster.View, pool string, members []cluster.Node) bool {
+// validKeeperSet reports whether a keeper set from a reply is non-empty, of valid size and entirely in permitted zones.
+func validKeeperSet(view *cluster.View, pool string, members []cluster.Node) bool {
 	forbidden := func(node cluster.Node) bool { return !view.Permitted(pool, node.Zone) }
 	return len(members) > 0 && len(members) <= maxKeepers && !slices.ContainsFunc(members, forbidden)
 }
@@ -80,11 +80,11 @@
 // collectVotes sends the claim to the keepers and counts their replies until the result is decided, the claim window
 // ends or ctx is done. It also returns the keeper set that most mismatch replies named, or nil.
 func (m *Manager) collectVotes(ctx context.Context, a *attempt, keepers []cluster.Node, revision uint64) (*voteCounter, []cluster.Node) {
-	m.addNodes(a, keepers)
+	m.addContactedNodes(a, keepers)
 	message := claimMessage{Key: a.key, ID: a.id, Fingerprint: a.fingerprint, Members: names(keepers), Revision: revision}
 	callCtx, cancel := context.WithTimeout(m.ctx, claimWindow)
 	answers := make(chan nodeReply[claimReply], len(keepers))
-	started := m.spawn(func() {
+	started := m.startBackground(func() {
 		defer cancel()
 		for answer := range broadcast(callCtx, keepers, m.claimCall(message)) {
 			answers <- answer
@@ -103,9 +103,9 @@
 			votes.add(answer.value, answer.err != nil)
 			sets.add(answer.value.Home)
 		case <-ctx.Done():
-			votes.end()
+			votes.closeVoting()
 		case <-window.C:
-			votes.end()
+			votes.closeVoting()
 		}
 	}
 	if votes.result() == resultGranted {
@@ -117,30 +117,30 @@
 func (m *Manager) claimCall(message claimMessage) func(context.Context, cluster.Node) (claimReply, error) {
 	return func(ctx context.Context, node cluster.Node) (claimReply, error) {
 		if node.Name == m.params.Self.Name {
-			return m.answer(message, m.params.Self.Zone), nil
+			return m.serveClaim(message, m.params.Self.Zone), nil
 		}
 		return rpc.Call[claimMessage, claimReply](ctx, m.params.Client, node.Address, message)
 	}
 }
 
-// conclude converts the votes to the result of Claim. If another claim holds the key, it releases this one in the
+// claimResult converts the votes to the result of Claim. If another claim holds the key, it releases this one in the
 // background.
-func (m *Manager) conclude(ctx context.Context, a *attempt, votes *voteCounter) (gateway.ClaimResult, error) {
+func (m *Manager) claimResult(ctx context.Context, a *attempt, votes *voteCounter) (gateway.ClaimResult, error) {
 	outcome := votes.result()
 	if outcome == resultGranted {
 		return gateway.ClaimResult{State: gateway.ClaimGranted}, nil
 	}
 	if outcome == resultFinished || outcome == resultHeld {
-		m.forget(a.id)
-		m.spawn(func() { m.releaseAll(m.ctx, a) })
-		return votes.existing(), nil
+		m.removeAttempt(a.id)
+		m.startBackground(func() { m.releaseAll(m.ctx, a) })
+		return votes.existingResult(), nil
 	}
 	// After an error the gateway calls Finish with not_run, which releases the claim.
-	return gateway.ClaimResult{}, refusal(ctx, votes)
+	return gateway.ClaimResult{}, notGrantedError(ctx, votes)
 }
 
-// refusal returns the error for a claim that was not granted by a majority.
-func refusal(ctx context.Context, votes *voteCounter) error {
+// notGrantedError returns the error for a claim that was not granted by a majority.
+func notGrantedError(ctx context.Context, votes *voteCounter) error {
 	switch {
 	case ctx.Err() != nil:
 		return v1.NotRun(v1.CodeDeadlineExceeded, retryAfterContended, "the request was canceled or timed out before its claim was granted")
@@ -150,7 +150,7 @@
 		return v1.NotRun(v1.CodeUnavailable, retryAfterUnreachable, "the pool is not permitted in the zone of a claim keeper")
 	case votes.refusals[verdictAbstains] > 0:
 		return v1.NotRun(v1.CodeUnavailable, retryAfterAbstaining, "too many claim keepers abstain after a restart or a change of the keeper set")
-	case len(votes.holders) > 0:
+	case len(votes.otherGrants) > 0:
 		wait := retryAfterContended + rand.N(retryAfterContended)
 		return v1.NotRun(v1.CodeUnavailable, wait, "concurrent requests with this key conflict")
 	}
@@ -161,7 +161,7 @@
 // keepers are updated in the background. The wait for a release is bounded by releaseWait. Finish does nothing for a
 // claim that this Manager did not make or has already finished.
 func (m *Manager) Finish(ctx context.Context, request gateway.ClaimRequest, stored gateway.StoredOutcome) error {
-	a := m.forget(request.ID)
+	a := m.removeAttempt(request.ID)
 	if a == nil {
 		return nil
 	}
@@ -216,7 +216,7 @@
 		}
 	}
 	m.mu.Unlock()
-	m.spawn(func() {
+	m.startBackground(func() {
 		for _, a := range running {
 			if err := m.callMajority(m.ctx, a.grantedBy, m.updateCall(learnMessage{Key: a.key, Record: runningRecord(a.id, a.fingerprint)})); err != nil {
 				m.metrics.renewFailures.Inc()
@@ -226,14 +226,14 @@
 }
 
 // callMajority sends an update to every node with retries and returns once a majority has recorded it. Remaining calls
-// continue in the background for up to noteWindow.
+// continue in the background for up to updateWindow.
 func (m *Manager) callMajority(ctx context.Context, nodes []cluster.Node, call func(context.Context, cluster.Node) (noteReply, error)) error {
 	if len(nodes) == 0 {
 		return nil
 	}
 	answers := make(chan error, len(nodes))
 	callCtx, cancel := context.WithTimeout(m.ctx, updateWindow)
-	started := m.spawn(func() {
+	started := m.startBackground(func() {
 		defer cancel()
 		for answer := range broadcast(callCtx, nodes, withRetries(call)) {
 			answers <- answer.err
@@ -292,8 +292,8 @@
 	}
 }
 
-// track registers an unfinished attempt. It reports false once the Manager is closed.
-func (m *Manager) track(a *attempt) bool {
+// addAttempt registers an unfinished attempt. It reports false once the Manager is closed.
+func (m *Manager) addAttempt(a *attempt) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.closed {
@@ -303,8 +303,8 @@
 	return true
 }
 
-// forget removes the attempt and returns it, or nil if there is none.
-func (m *Manager) forget(id string) *attempt {
+// removeAttempt removes the attempt and returns it, or nil if there is none.
+func (m *Manager) removeAttempt(id string) *attempt {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	a, ok := m.attempts[id]
@@ -315,7 +315,7 @@
 	return a
 }
 
-func (m *Manager) addNodes(a *attempt, nodes []cluster.Node) {
+func (m *Manager) addContactedNodes(a *attempt, nodes []cluster.Node) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, node := range nodes {
@@ -345,12 +345,12 @@
 	if len(members) == 0 {
 		return
 	}
-	label := label(members)
+	label := joinNames(members)
 	p.sets[label] = members
 	p.counts[label]++
 }
 
-// winner returns the keeper set named most often, or nil. Ties are broken by label.
+// winner returns the keeper set named most often, or nil. Ties are broken by the joined member names.
 func (p *keeperSetVotes) winner() []cluster.Node {
 	best := ""
 	for label, count := range p.counts {
--- a/internal/claims/cluster_test.go
+++ b/internal/claims/cluster_test.go
@@ -143,12 +143,12 @@
 
 // testCluster is a set of nodes connected over loopback.
 type testCluster struct {
-	t       testing.TB
-	clock   *fakeClock
-	links   *links
-	members []*member
-	seeds   []cluster.Node
-	bound   []net.Listener
+	t         testing.TB
+	clock     *fakeClock
+	links     *links
+	members   []*member
+	seeds     []cluster.Node
+	listeners []net.Listener
 }
 
 // newCluster starts one node per zone; disks gives each a data folder.
@@ -159,7 +159,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.bound = append(c.bound, listener)
+		c.listeners = append(c.listeners, listener)
 		c.seeds = append(c.seeds, cluster.Node{Name: fmt.Sprintf("node-%d", index+1), Zone: zone,
 			Address: listener.Addr().String(), HasDisk: disks})
 	}
@@ -191,13 +191,13 @@
 		c.t.Fatal(err)
 	}
 	manager.Register(server)
-	listener := c.bound[index]
+	listener := c.listeners[index]
 	if listener == nil {
 		if listener, err = net.Listen("tcp", m.node.Address); err != nil {
 			c.t.Fatal(err)
 		}
 	}
-	c.bound[index] = nil
+	c.listeners[index] = nil
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	running.Go(func() { server.Serve(listener) })
--- a/internal/claims/gateway_test.go
+++ b/internal/claims/gateway_test.go
@@ -26,13 +26,13 @@
 
 const testToken = "application-token"
 
-// counter is a dispatcher that counts its runs and returns a fixed outcome.
-type counter struct {
+// countingDispatcher is a dispatcher that counts its runs and returns a fixed outcome.
+type countingDispatcher struct {
 	runs    atomic.Int64
 	outcome v1.Outcome
 }
 
-func (d *counter) Dispatch(context.Context, dispatch.Task, func(dispatch.Progress) error) dispatch.Result {
+func (d *countingDispatcher) Dispatch(context.Context, dispatch.Task, func(dispatch.Progress) error) dispatch.Result {
 	d.runs.Add(1)
 	if d.outcome != v1.OutcomeCompleted {
 		return dispatch.Result{Outcome: d.outcome}
@@ -42,7 +42,7 @@
 }
 
 // gatewayAt starts a gateway for the member at index and returns an OpenAI client without retries.
-func (c *testCluster) gatewayAt(index int, dispatcher *counter) openai.Client {
+func (c *testCluster) gatewayAt(index int, dispatcher *countingDispatcher) openai.Client {
 	m := c.members[index]
 	m.source.Update(func(*cluster.View) *cluster.View {
 		view := viewOf(threeZones...)
@@ -67,7 +67,7 @@
 		option.WithHeader("Idempotency-Key", "k"), option.WithHeader("Covelink-Repeatable", "false"))
 }
 
-func relay(client openai.Client) (string, error) {
+func requestCompletion(client openai.Client) (string, error) {
 	answer, err := client.Completions.New(context.Background(), openai.CompletionNewParams{Model: testPool,
 		Prompt: openai.CompletionNewParamsPromptUnion{OfString: openai.String("write the minutes")}})
 	if err != nil {
@@ -93,7 +93,7 @@
 	Convey("Gateways in three zones with one key", t, func() {
 		gin.SetMode(gin.TestMode)
 		c := newCluster(t, threeZones, true).open()
-		dispatcher := &counter{outcome: v1.OutcomeCompleted}
+		dispatcher := &countingDispatcher{outcome: v1.OutcomeCompleted}
 		var clients []openai.Client
 		for index := range threeZones {
 			clients = append(clients, c.gatewayAt(index, dispatcher))
@@ -103,7 +103,7 @@
 			failures := make(chan error, len(clients))
 			for _, client := range clients {
 				requests.Go(func() {
-					if text, err := relay(client); err != nil {
+					if text, err := requestCompletion(client); err != nil {
 						failures <- err
 					} else if text != "the minutes" {
 						t.Errorf("got %q", text)
@@ -116,7 +116,7 @@
 				So([]v1.Outcome{v1.OutcomeUnknown, v1.OutcomeNotRun}, ShouldContain, outcomeOf(err))
 			}
 			c.eventually("a retry returns the answer", func() bool {
-				text, err := relay(clients[2])
+				text, err := requestCompletion(clients[2])
 				return err == nil && text == "the minutes"
 			})
 			So(dispatcher.runs.Load(), ShouldEqual, 1)
@@ -124,7 +124,7 @@
 		Convey("never run it again after an unknown outcome", func() {
 			dispatcher.outcome = v1.OutcomeUnknown
 			for _, client := range clients {
-				_, err := relay(client)
+				_, err := requestCompletion(client)
 				So(outcomeOf(err), ShouldEqual, v1.OutcomeUnknown)
 			}
 			So(dispatcher.runs.Load(), ShouldEqual, 1)
@@ -132,7 +132,7 @@
 		Convey("return not_run without dispatching when a majority of the keepers is unreachable", func() {
 			c.links.isolate(c.seeds[1].Address)
 			c.links.isolate(c.seeds[2].Address)
-			_, err := relay(clients[0])
+			_, err := requestCompletion(clients[0])
 			So(outcomeOf(err), ShouldEqual, v1.OutcomeNotRun)
 			So(dispatcher.runs.Load(), ShouldEqual, 0)
 		})
--- a/internal/claims/keeper.go
+++ b/internal/claims/keeper.go
@@ -28,10 +28,10 @@
 	history keeperSetHistory
 	store   *store // nil without a data folder
 	started time.Time
-	// opened is set once the table holds every claim that this keeper has granted within the retention time.
-	opened bool
-	// used is set once another keeper reported earlier grants, which may be missing from this table.
-	used bool
+	// tableComplete is set once the table holds every claim that this keeper has granted within the retention time.
+	tableComplete bool
+	// peerHasGranted is set once another keeper reported earlier grants, which may be missing from this table.
+	peerHasGranted bool
 	// clearedProcesses are the peer process IDs that the successful bootstrap of this keeper found new.
 	clearedProcesses []string
 }
@@ -41,7 +41,7 @@
 	k.mu.Lock()
 	reply, durable := k.applyClaim(message, peerZone)
 	k.mu.Unlock()
-	if err := await(durable); err != nil {
+	if err := awaitWrite(durable); err != nil {
 		return claimReply{Verdict: verdictStorage}
 	}
 	return reply
@@ -60,9 +60,9 @@
 	}
 	present := keeperSet(view, pool, k.seeds)
 	members := names(present)
-	k.observe(now, pool, members)
+	k.recordKeeperSet(now, pool, members)
 	if !slices.Equal(members, message.Members) {
-		return claimReply{Verdict: verdictOtherHome, Home: present}, nil
+		return claimReply{Verdict: verdictKeeperSetMismatch, Home: present}, nil
 	}
 	if !slices.Contains(members, k.self.Name) || !k.mayGrant(now, pool, members) {
 		return claimReply{Verdict: verdictAbstains}, nil
@@ -89,7 +89,7 @@
 
 // mayGrant reports whether the table is complete and the keeper set history allows a grant.
 func (k *keeper) mayGrant(now time.Time, pool string, members []string) bool {
-	if !k.guards.noAbstaining && !k.opened {
+	if !k.guards.noAbstaining && !k.tableComplete {
 		return false
 	}
 	return k.guards.noKeeperSetHistory || k.history.mayGrant(now, pool, members, k.limits.Retention+keeperSetMargin)
@@ -98,14 +98,14 @@
 // update records an update from a claim's holder, also while this keeper abstains.
 func (k *keeper) update(message learnMessage, peerZone string) noteReply {
 	k.mu.Lock()
-	if !k.mayHold(message.Key.Pool, peerZone) {
+	if !k.zonesPermitted(message.Key.Pool, peerZone) {
 		k.mu.Unlock()
 		return noteReply{Forbidden: true}
 	}
 	noted, changes := k.table.Update(k.now(), message.Key, message.Record)
 	durable := k.persist(write{changes: changes})
 	k.mu.Unlock()
-	return noteReply{Noted: await(durable) == nil && noted}
+	return noteReply{Noted: awaitWrite(durable) == nil && noted}
 }
 
 // release removes a claim and records its tombstone.
@@ -114,10 +114,10 @@
 	noted, changes := k.table.Release(k.now(), message.Key, message.ID)
 	durable := k.persist(write{changes: changes})
 	k.mu.Unlock()
-	return noteReply{Noted: await(durable) == nil && noted}
+	return noteReply{Noted: awaitWrite(durable) == nil && noted}
 }
 
-func (k *keeper) mayHold(pool, peerZone string) bool {
+func (k *keeper) zonesPermitted(pool, peerZone string) bool {
 	view := k.source.Current()
 	return view.Permitted(pool, k.self.Zone) && view.Permitted(pool, peerZone)
 }
@@ -126,7 +126,7 @@
 func (k *keeper) bootstrapStatus(message startMessage) startReply {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return startReply{Life: k.processID, New: !k.opened && !k.used, Cleared: slices.Contains(k.clearedProcesses, message.Life)}
+	return startReply{Life: k.processID, New: !k.tableComplete && !k.peerHasGranted, Cleared: slices.Contains(k.clearedProcesses, message.Life)}
 }
 
 // maintain records changed keeper sets, removes expired entries and stops abstaining once the retention time has passed.
@@ -135,55 +135,55 @@
 	defer k.mu.Unlock()
 	now := k.now()
 	view := k.source.Current()
-	k.observeAll(now, view)
+	k.recordKeeperSets(now, view)
 	k.persist(write{changes: k.table.Sweep(now, func(pool string) bool {
 		return view.Revision == 0 || view.Permitted(pool, k.self.Zone)
 	})})
-	if !k.opened && now.Sub(k.started) >= k.limits.Retention {
+	if !k.tableComplete && now.Sub(k.started) >= k.limits.Retention {
 		k.markTableComplete(nil)
 	}
 }
 
 // markTableComplete stops abstaining. The mark is persisted before any later grant, so that a keeper that has granted
 // never appears new. The caller holds the lock.
-func (k *keeper) markTableComplete(lives []string) {
-	k.opened = true
-	k.clearedProcesses = lives
-	k.persist(write{opened: true})
+func (k *keeper) markTableComplete(processIDs []string) {
+	k.tableComplete = true
+	k.clearedProcesses = processIDs
+	k.persist(write{tableComplete: true})
 }
 
-// clear calls markTableComplete if the keeper still abstains.
-func (k *keeper) clear(lives []string) {
+// completeBootstrap calls markTableComplete if the keeper still abstains.
+func (k *keeper) completeBootstrap(processIDs []string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if !k.opened {
-		k.markTableComplete(lives)
+	if !k.tableComplete {
+		k.markTableComplete(processIDs)
 	}
 }
 
-// recordPeerGrants records that another keeper is not new, so that this one does not appear new if the others later
-// lose their tables. It reports whether this was not recorded before.
+// recordPeerGrants persists that a peer has earlier grants, so that this keeper does not appear new if the peers later
+// lose their tables. It reports whether this is the first such record.
 func (k *keeper) recordPeerGrants() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.used {
+	if k.peerHasGranted {
 		return false
 	}
-	k.used = true
-	k.persist(write{used: true})
+	k.peerHasGranted = true
+	k.persist(write{peerHasGranted: true})
 	return true
 }
 
 func (k *keeper) knowsPeerGrants() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.used
+	return k.peerHasGranted
 }
 
 func (k *keeper) isTableComplete() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.opened
+	return k.tableComplete
 }
 
 // bootstrapPeers returns the other members of every keeper set that contains this keeper. It is not eligible for
@@ -229,38 +229,38 @@
 	return diskless < allGuards.majority(len(members))
 }
 
-// observeAll records the keeper sets of all pools, including deleted ones. The caller holds the lock.
-func (k *keeper) observeAll(now time.Time, view *cluster.View) {
+// recordKeeperSets records the keeper sets of all pools, including deleted ones. The caller holds the lock.
+func (k *keeper) recordKeeperSets(now time.Time, view *cluster.View) {
 	if !view.Serving {
 		return
 	}
 	for pool := range view.Pools {
-		k.observe(now, pool, names(keeperSet(view, pool, k.seeds)))
+		k.recordKeeperSet(now, pool, names(keeperSet(view, pool, k.seeds)))
 	}
 	for pool := range k.history {
 		if _, ok := view.Pools[pool]; !ok {
-			k.observe(now, pool, nil)
+			k.recordKeeperSet(now, pool, nil)
 		}
 	}
 }
 
-// observe records a pool's keeper set. The caller holds the lock.
-func (k *keeper) observe(now time.Time, pool string, members []string) {
-	if k.history.observe(now, pool, members, k.limits.Retention+keeperSetMargin) {
+// recordKeeperSet records a pool's keeper set. The caller holds the lock.
+func (k *keeper) recordKeeperSet(now time.Time, pool string, members []string) {
+	if k.history.record(now, pool, members, k.limits.Retention+keeperSetMargin) {
 		k.persist(write{history: k.history.clone()})
 	}
 }
 
 // persist enqueues a write and returns nil if there is nothing to write. The caller holds the lock, which orders writes.
 func (k *keeper) persist(w write) <-chan error {
-	if k.store == nil || (len(w.changes) == 0 && w.history == nil && !w.opened && !w.used) {
+	if k.store == nil || (len(w.changes) == 0 && w.history == nil && !w.tableComplete && !w.peerHasGranted) {
 		return nil
 	}
 	return k.store.enqueue(w)
 }
 
-// await returns the result of a write; a nil channel means that there is none.
-func await(durable <-chan error) error {
+// awaitWrite returns the result of a write; a nil channel means that there is none.
+func awaitWrite(durable <-chan error) error {
 	if durable == nil {
 		return nil
 	}
--- a/internal/claims/keeperset.go
+++ b/internal/claims/keeperset.go
@@ -14,8 +14,8 @@
 const (
 	// maxKeepers bounds the keeper set of a pool.
 	maxKeepers = 5
-	// wantedKeepers is the set size up to which nodes without a disk are added.
-	wantedKeepers = 3
+	// targetKeepers is the set size up to which nodes without a disk are added.
+	targetKeepers = 3
 )
 
 // keeperSet returns the pool's keeper set, sorted by name: nodes in permitted zones of the region of the pool's first
@@ -38,8 +38,8 @@
 			others = append(others, node)
 		}
 	}
-	chosen := highest(pool, disks, maxKeepers)
-	chosen = append(chosen, highest(pool, others, max(0, wantedKeepers-len(chosen)))...)
+	chosen := topScored(pool, disks, maxKeepers)
+	chosen = append(chosen, topScored(pool, others, max(0, targetKeepers-len(chosen)))...)
 	slices.SortFunc(chosen, func(a, b cluster.Node) int { return cmp.Compare(a.Name, b.Name) })
 	return chosen
 }
@@ -54,8 +54,8 @@
 	return okA && okB && zoneA.Spec.Region == zoneB.Spec.Region
 }
 
-// highest sorts the nodes by descending score for the pool, in place, and returns the first count.
-func highest(pool string, nodes []cluster.Node, count int) []cluster.Node {
+// topScored sorts the nodes by descending score for the pool, in place, and returns the first count.
+func topScored(pool string, nodes []cluster.Node, count int) []cluster.Node {
 	slices.SortFunc(nodes, func(a, b cluster.Node) int {
 		return cmp.Or(cmp.Compare(score(pool, b.Name), score(pool, a.Name)), cmp.Compare(a.Name, b.Name))
 	})
@@ -82,8 +82,8 @@
 // keeperSetHistory holds the keeper sets of each pool, newest last, while claims that they granted may still be valid.
 type keeperSetHistory map[string][]keeperSetPeriod
 
-// observe records the pool's present keeper set and reports whether the history changed.
-func (h keeperSetHistory) observe(now time.Time, pool string, members []string, keep time.Duration) bool {
+// record adds the pool's present keeper set if it changed and reports whether the history changed.
+func (h keeperSetHistory) record(now time.Time, pool string, members []string, keep time.Duration) bool {
 	past := h[pool]
 	if len(past) > 0 && slices.Equal(past[len(past)-1].Members, members) {
 		return false
@@ -101,16 +101,16 @@
 func (h keeperSetHistory) mayGrant(now time.Time, pool string, members []string, keep time.Duration) bool {
 	for _, former := range h[pool] {
 		recent := former.Until.IsZero() || now.Sub(former.Until) <= keep
-		if recent && !majoritiesMeet(former.Members, members) {
+		if recent && !majoritiesIntersect(former.Members, members) {
 			return false
 		}
 	}
 	return true
 }
 
-// majoritiesMeet reports whether every majority of a intersects every majority of b. An empty set has granted nothing,
-// so it conflicts with no other.
-func majoritiesMeet(a, b []string) bool {
+// majoritiesIntersect reports whether every majority of a intersects every majority of b. An empty set has granted
+// nothing, so it conflicts with no other.
+func majoritiesIntersect(a, b []string) bool {
 	if len(a) == 0 || len(b) == 0 {
 		return true
 	}
@@ -132,5 +132,5 @@
 	return copied
 }
 
-// label returns the member names joined by commas.
-func label(members []cluster.Node) string { return strings.Join(names(members), ",") }
+// joinNames returns the member names joined by commas.
+func joinNames(members []cluster.Node) string { return strings.Join(names(members), ",") }
--- a/internal/claims/manager.go
+++ b/internal/claims/manager.go
@@ -33,8 +33,8 @@
 	bootstrapInterval = 250 * time.Millisecond
 	// maintenanceInterval is the time between maintenance runs. It bounds how long a changed keeper set goes undetected.
 	maintenanceInterval = time.Second
-	// closeGrace is how long close waits for background work before canceling it.
-	closeGrace = time.Second
+	// shutdownTimeout is how long close waits for background work before canceling it.
+	shutdownTimeout = time.Second
 	// renewalsPerRetention is the number of renewals of a running claim per retention time.
 	renewalsPerRetention = 4
 	// maxAnswerBytes bounds one stored answer; for a larger one only the outcome is kept.
@@ -85,12 +85,12 @@
 func New(params Params) (*Manager, error) {
 	params = withDefaults(params)
 	m := &Manager{params: params, guards: allGuards, attempts: make(map[string]*attempt)}
-	opened, err := newKeeper(params)
+	k, err := newKeeper(params)
 	if err != nil {
 		return nil, err
 	}
-	m.keeper = opened
-	m.metrics = newMetrics(params.Registerer, opened)
+	m.keeper = k
+	m.metrics = newMetrics(params.Registerer, k)
 	m.ctx, m.cancel = context.WithCancel(context.Background())
 	return m, nil
 }
@@ -134,7 +134,7 @@
 	if err != nil {
 		return nil, err
 	}
-	k.store, k.opened, k.used, k.history = opened, content.opened, content.used, content.history
+	k.store, k.tableComplete, k.peerHasGranted, k.history = opened, content.tableComplete, content.peerHasGranted, content.history
 	for _, c := range content.changes {
 		k.table.restore(c)
 	}
@@ -142,14 +142,14 @@
 }
 
 // openOrReplace opens the claims file. It renames a corrupt file and creates an empty one.
-func openOrReplace(params Params) (*store, loaded, error) {
+func openOrReplace(params Params) (*store, storeContent, error) {
 	opened, content, err := openStore(params.DataDir)
 	if !errors.Is(err, ErrCorrupt) {
 		return opened, content, err
 	}
 	level.Error(params.Logger).Log("msg", "claims file corrupt and renamed, keeper abstains", "err", err)
-	if err := setAside(params.DataDir, params.Now()); err != nil {
-		return nil, loaded{}, fmt.Errorf("claims: rename corrupt file: %w", err)
+	if err := renameCorruptFile(params.DataDir, params.Now()); err != nil {
+		return nil, storeContent{}, fmt.Errorf("claims: rename corrupt file: %w", err)
 	}
 	return openStore(params.DataDir)
 }
@@ -157,7 +157,7 @@
 // Register adds the handlers of the keeper to the server.
 func (m *Manager) Register(server *rpc.Server) {
 	rpc.Handle(server, func(_ context.Context, peer rpc.Peer, message claimMessage) (claimReply, error) {
-		return m.answer(message, peer.Zone), nil
+		return m.serveClaim(message, peer.Zone), nil
 	})
 	rpc.Handle(server, func(_ context.Context, peer rpc.Peer, message learnMessage) (noteReply, error) {
 		return m.keeper.update(message, peer.Zone), nil
@@ -170,35 +170,35 @@
 	})
 }
 
-// answer serves a claim and counts the verdict.
-func (m *Manager) answer(message claimMessage, peerZone string) claimReply {
+// serveClaim serves a claim and counts the verdict.
+func (m *Manager) serveClaim(message claimMessage, peerZone string) claimReply {
 	reply := m.keeper.claim(message, peerZone)
 	m.metrics.verdicts.WithLabelValues(string(reply.Verdict)).Inc()
 	return reply
 }
 
-// Run maintains the keeper and renews running claims until ctx ends. It then refuses new claims, waits up to closeGrace
-// for background work, cancels what remains and closes the claims file.
+// Run maintains the keeper and renews running claims until ctx ends. It then refuses new claims, waits up to
+// shutdownTimeout for background work, cancels what remains and closes the claims file.
 func (m *Manager) Run(ctx context.Context) error {
-	tend := time.NewTicker(maintenanceInterval)
-	defer tend.Stop()
-	start := time.NewTicker(bootstrapInterval)
-	defer start.Stop()
-	renew := time.NewTicker(m.params.Retention / renewalsPerRetention)
-	defer renew.Stop()
+	maintainTicker := time.NewTicker(maintenanceInterval)
+	defer maintainTicker.Stop()
+	bootstrapTicker := time.NewTicker(bootstrapInterval)
+	defer bootstrapTicker.Stop()
+	renewTicker := time.NewTicker(m.params.Retention / renewalsPerRetention)
+	defer renewTicker.Stop()
 	m.keeper.maintain()
 	for {
 		changed := m.params.Source.Changed()
 		select {
 		case <-ctx.Done():
 			return m.close()
-		case <-tend.C:
+		case <-maintainTicker.C:
 			m.keeper.maintain()
 		case <-changed:
 			m.keeper.maintain()
-		case <-start.C:
+		case <-bootstrapTicker.C:
 			m.bootstrap(ctx)
-		case <-renew.C:
+		case <-renewTicker.C:
 			m.renew()
 		}
 	}
@@ -208,7 +208,7 @@
 	m.mu.Lock()
 	m.closed = true
 	m.mu.Unlock()
-	grace := time.AfterFunc(closeGrace, m.cancel)
+	grace := time.AfterFunc(shutdownTimeout, m.cancel)
 	defer grace.Stop()
 	defer m.cancel()
 	m.background.Wait()
@@ -218,8 +218,8 @@
 	return m.keeper.store.close()
 }
 
-// spawn starts run in a goroutine that close waits for. It reports false once the Manager is closed.
-func (m *Manager) spawn(run func()) bool {
+// startBackground starts run in a goroutine that close waits for. It reports false once the Manager is closed.
+func (m *Manager) startBackground(run func()) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.closed {
@@ -242,40 +242,41 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, bootstrapInterval)
 	defer cancel()
-	found := bootstrapResult{new: true}
+	found := bootstrapResult{allPeersNew: true}
 	for reply := range broadcast(ctx, others, m.bootstrapCall) {
 		found.add(reply)
 	}
 	switch {
-	case found.cleared:
-		m.keeper.clear(nil)
-	case found.used:
+	case found.clearedByPeer:
+		m.keeper.completeBootstrap(nil)
+	case found.peerHasGranted:
 		if m.keeper.recordPeerGrants() {
 			level.Info(m.params.Logger).Log("msg", "peer has earlier grants, keeper abstains for the retention time")
 		}
-	case found.new:
-		m.keeper.clear(found.lives)
+	case found.allPeersNew:
+		m.keeper.completeBootstrap(found.processIDs)
 		level.Info(m.params.Logger).Log("msg", "all keepers are new, keeper starts granting claims", "keepers", len(others)+1)
 	}
 }
 
 // bootstrapResult combines the bootstrap replies of the peers.
 type bootstrapResult struct {
-	// cleared: a peer has found this process new. used: a peer has earlier grants. new: every peer replied that it is new.
-	cleared, used, new bool
-	lives              []string
+	// clearedByPeer: a peer has found this process new. peerHasGranted: a peer has earlier grants. allPeersNew: every
+	// peer replied that it is new.
+	clearedByPeer, peerHasGranted, allPeersNew bool
+	processIDs                                 []string
 }
 
 func (s *bootstrapResult) add(reply nodeReply[startReply]) {
 	switch {
 	case reply.err != nil:
-		s.new = false
+		s.allPeersNew = false
 	case reply.value.Cleared:
-		s.cleared = true
+		s.clearedByPeer = true
 	case !reply.value.New:
-		s.used, s.new = true, false
+		s.peerHasGranted, s.allPeersNew = true, false
 	}
-	s.lives = append(s.lives, reply.value.Life)
+	s.processIDs = append(s.processIDs, reply.value.Life)
 }
 
 func (m *Manager) bootstrapCall(ctx context.Context, node cluster.Node) (startReply, error) {
--- a/internal/claims/manager_test.go
+++ b/internal/claims/manager_test.go
@@ -118,7 +118,7 @@
 	return record
 }
 
-func TestRace(t *testing.T) {
+func TestConcurrentClaims(t *testing.T) {
 	Convey("Of concurrent claims of one key at gateways in three zones, at most one is granted", t, func() {
 		c := newCluster(t, threeZones, true).open()
 		const rounds, each = 20, 2
--- a/internal/claims/messages.go
+++ b/internal/claims/messages.go
@@ -23,8 +23,8 @@
 	verdictExisting verdict = "existing"
 	verdictReleased verdict = "released"
 	verdictFull     verdict = "full"
-	// verdictOtherHome: the keeper's view gives another keeper set, which is in the reply.
-	verdictOtherHome verdict = "other_home"
+	// verdictKeeperSetMismatch: the keeper's view gives another keeper set, which is in the reply.
+	verdictKeeperSetMismatch verdict = "other_home"
 	// verdictAbstains: the keeper is not in the set, may have lost claims, or its set changed too recently.
 	verdictAbstains verdict = "abstains"
 	// verdictNotServing: the keeper's view may be stale.
@@ -40,7 +40,7 @@
 	Verdict verdict
 	// Record is set with verdictExisting.
 	Record Record
-	// Home is the keeper set of the keeper's view, set with verdictOtherHome.
+	// Home is the keeper set of the keeper's view, set with verdictKeeperSetMismatch.
 	Home []cluster.Node
 }
 
--- a/internal/claims/metrics.go
+++ b/internal/claims/metrics.go
@@ -42,7 +42,7 @@
 				func() float64 { return float64(k.table.AnswerBytes()) }),
 			tableGauge("covelink_claims_abstaining", "1 while this keeper grants nothing because it may have forgotten claims.", k,
 				func() float64 {
-					if k.opened {
+					if k.tableComplete {
 						return 0
 					}
 					return 1
--- a/internal/claims/model_test.go
+++ b/internal/claims/model_test.go
@@ -36,7 +36,7 @@
 	finished bool
 }
 
-func (w *simulation) note(call, end int64, input modelInput, output modelOutput) {
+func (w *simulation) recordOperation(call, end int64, input modelInput, output modelOutput) {
 	w.history = append(w.history, porcupine.Operation{ClientId: len(w.history), Input: input, Call: call, Output: output, Return: end})
 }
 
@@ -64,14 +64,14 @@
 func check(pick func(n int) int, injected faults) string {
 	w := newSimulation(pick, injected)
 	w.run()
-	if w.violation == "" && !injected.long && porcupine.CheckOperationsTimeout(keyModel, w.history, waitLimit) != porcupine.Ok {
+	if w.violation == "" && !injected.exceedsRetention && porcupine.CheckOperationsTimeout(keyModel, w.history, waitLimit) != porcupine.Ok {
 		return "the history is not linearizable"
 	}
 	return w.violation
 }
 
 func TestModel(t *testing.T) {
-	for name, schedule := range map[string]faults{"within the retention time": {}, "past the retention time": {long: true}} {
+	for name, schedule := range map[string]faults{"within the retention time": {}, "past the retention time": {exceedsRetention: true}} {
 		t.Run(name, rapid.MakeCheck(func(t *rapid.T) {
 			choice := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "choice") }
 			if broken := check(choice, schedule); broken != "" {
@@ -83,7 +83,7 @@
 		granted := 0
 		for seed := range uint64(3000) {
 			random := rand.New(rand.NewPCG(seed, 1))
-			w := newSimulation(random.IntN, faults{long: seed%2 == 0})
+			w := newSimulation(random.IntN, faults{exceedsRetention: seed%2 == 0})
 			w.run()
 			if w.violation != "" {
 				t.Fatalf("seed %d: %s", seed, w.violation)
--- a/internal/claims/simulation_test.go
+++ b/internal/claims/simulation_test.go
@@ -23,8 +23,8 @@
 	guards guards
 	// sendBeforeClaim lets a claimant run before its claim is granted.
 	sendBeforeClaim bool
-	// long lets a schedule exceed the retention time.
-	long bool
+	// exceedsRetention lets a schedule exceed the retention time.
+	exceedsRetention bool
 }
 
 // packet is a request or a reply in flight.
@@ -43,11 +43,11 @@
 	id      string
 	votes   *voteCounter
 	started time.Time
-	heard   map[int]bool
+	replied map[int]bool
 	decided bool
-	// ran: a byte may have reached an engine. over: the run ended or its gateway failed.
+	// ran: a byte may have reached an engine. ended: the run ended or its gateway failed.
 	ran      bool
-	over     bool
+	ended    bool
 	released bool
 	call     int64
 }
@@ -77,7 +77,7 @@
 	}
 	for index := range count {
 		w.keepers = append(w.keepers, w.newKeeper(index))
-		w.keepers[index].opened = true
+		w.keepers[index].tableComplete = true
 	}
 	w.down = make([]bool, count)
 	return w
@@ -85,10 +85,10 @@
 
 func (w *simulation) newKeeper(index int) *keeper {
 	limits := Limits{Retention: modelRetention, MaxEntries: 1000, MaxAnswerBytes: 1 << 20}
-	register := NewTable(limits)
-	register.guards = w.faults.guards
+	table := NewTable(limits)
+	table.guards = w.faults.guards
 	return &keeper{self: w.seeds[index], source: w.source, seeds: w.seeds, limits: limits, guards: w.faults.guards,
-		now: w.clock.Now, table: register, history: make(keeperSetHistory), started: w.clock.Now()}
+		now: w.clock.Now, table: table, history: make(keeperSetHistory), started: w.clock.Now()}
 }
 
 // run takes modelSteps random steps, or stops at a violation.
@@ -100,7 +100,7 @@
 			return
 		}
 	}
-	w.settle()
+	w.deliverAll()
 }
 
 func (w *simulation) step() {
@@ -114,9 +114,9 @@
 	case 4:
 		w.recover()
 	case 5:
-		w.passTime()
+		w.advanceTime()
 	case 6:
-		w.lose()
+		w.dropPacket()
 	default:
 		w.deliver(w.pick(4) == 0)
 	}
@@ -127,11 +127,11 @@
 	if len(w.claimants) >= 8 {
 		return
 	}
-	c := &modelClaimant{id: fmt.Sprint("claim-", len(w.claimants)), started: w.clock.Now(), heard: make(map[int]bool), call: w.tick}
+	c := &modelClaimant{id: fmt.Sprint("claim-", len(w.claimants)), started: w.clock.Now(), replied: make(map[int]bool), call: w.tick}
 	c.votes = newVoteCounter(len(w.keepers), w.faults.guards)
 	w.claimants = append(w.claimants, c)
 	if w.faults.sendBeforeClaim {
-		w.execute(c)
+		w.markRan(c)
 	}
 	message := &claimMessage{Key: modelKey, ID: c.id, Members: names(keeperSet(w.source.Current(), testPool, w.seeds))}
 	for index := range w.keepers {
@@ -139,8 +139,8 @@
 	}
 }
 
-// execute marks a claim as run and records a violation if another one ran within the retention time.
-func (w *simulation) execute(c *modelClaimant) {
+// markRan marks a claim as run and records a violation if another one ran within the retention time.
+func (w *simulation) markRan(c *modelClaimant) {
 	for _, other := range w.claimants {
 		if other != c && other.ran && c.started.Sub(other.started) < modelRetention-modelWindow {
 			w.violation = fmt.Sprintf("%s and %s both ran", other.id, c.id)
@@ -168,7 +168,7 @@
 func (w *simulation) handle(p packet) {
 	switch {
 	case p.reply != nil:
-		w.answered(p)
+		w.handleReply(p)
 	case p.claim != nil:
 		reply := w.keepers[p.to].claim(*p.claim, "zone-1")
 		w.packets = append(w.packets, packet{to: p.to, sent: w.clock.Now(), reply: &reply, claimant: p.claimant})
@@ -179,12 +179,12 @@
 	}
 }
 
-func (w *simulation) answered(p packet) {
+func (w *simulation) handleReply(p packet) {
 	c := p.claimant
-	if c.decided || c.heard[p.to] {
+	if c.decided || c.replied[p.to] {
 		return
 	}
-	c.heard[p.to] = true
+	c.replied[p.to] = true
 	c.votes.add(*p.reply, false)
 	w.decide(c)
 }
@@ -196,10 +196,10 @@
 		return
 	}
 	c.decided = true
-	w.note(c.call, w.tick, modelInput{kind: inputClaim, id: c.id}, modelOutput{result: outcome, holder: c.votes.existingRecord.ID,
+	w.recordOperation(c.call, w.tick, modelInput{kind: inputClaim, id: c.id}, modelOutput{result: outcome, holder: c.votes.existingRecord.ID,
 		text: textOf(c.votes.existingRecord.Stored.Answer)})
 	if outcome == resultGranted {
-		w.execute(c)
+		w.markRan(c)
 		return
 	}
 	w.release(c)
@@ -218,28 +218,28 @@
 		return
 	}
 	c := w.claimants[w.pick(len(w.claimants))]
-	if !c.decided || !c.ran || c.over {
+	if !c.decided || !c.ran || c.ended {
 		return
 	}
-	c.over = true
+	c.ended = true
 	switch w.pick(3) {
 	case 0:
 		c.ran = false
-		w.note(w.tick, modelEnd, modelInput{kind: inputRelease, id: c.id}, modelOutput{})
+		w.recordOperation(w.tick, modelEnd, modelInput{kind: inputRelease, id: c.id}, modelOutput{})
 		w.release(c)
 	case 1:
 		record := Record{ID: c.id, State: StateFinished, Stored: completedWith("answer of " + c.id)}
-		w.note(w.tick, modelEnd, modelInput{kind: inputFinish, id: c.id}, modelOutput{})
-		w.tell(packet{learn: &learnMessage{Key: modelKey, Record: record}})
+		w.recordOperation(w.tick, modelEnd, modelInput{kind: inputFinish, id: c.id}, modelOutput{})
+		w.sendToKeepers(packet{learn: &learnMessage{Key: modelKey, Record: record}})
 	}
 }
 
 func (w *simulation) release(c *modelClaimant) {
 	c.released = true
-	w.tell(packet{release: &releaseMessage{Key: modelKey, ID: c.id}})
+	w.sendToKeepers(packet{release: &releaseMessage{Key: modelKey, ID: c.id}})
 }
 
-func (w *simulation) tell(p packet) {
+func (w *simulation) sendToKeepers(p packet) {
 	for index := range w.keepers {
 		p.to, p.sent = index, w.clock.Now()
 		w.packets = append(w.packets, p)
@@ -261,9 +261,9 @@
 	}
 }
 
-func (w *simulation) passTime() {
+func (w *simulation) advanceTime() {
 	by := modelWindow / 8
-	if w.faults.long {
+	if w.faults.exceedsRetention {
 		by = modelRetention / time.Duration(2+w.pick(20))
 	}
 	w.clock.advance(by)
@@ -274,8 +274,8 @@
 	}
 }
 
-// lose drops a random packet unless it is a release, since releases are retried until they arrive.
-func (w *simulation) lose() {
+// dropPacket drops a random packet unless it is a release, since releases are retried until they arrive.
+func (w *simulation) dropPacket() {
 	if len(w.packets) == 0 {
 		return
 	}
@@ -290,7 +290,7 @@
 	now := w.clock.Now()
 	for _, c := range w.claimants {
 		if !c.decided && now.Sub(c.started) >= modelWindow {
-			c.votes.end()
+			c.votes.closeVoting()
 			w.decide(c)
 		}
 	}
@@ -303,8 +303,8 @@
 	w.packets = remaining
 }
 
-// settle delivers all packets. If every claim was released and none ran, the key must be free at every keeper.
-func (w *simulation) settle() {
+// deliverAll delivers all packets. If every claim was released and none ran, the key must be free at every keeper.
+func (w *simulation) deliverAll() {
 	for index := range w.down {
 		w.down[index] = false
 	}
@@ -317,7 +317,7 @@
 			return
 		}
 	}
-	if w.faults.long {
+	if w.faults.exceedsRetention {
 		return // a release may have expired while its keeper was down
 	}
 	for _, k := range w.keepers {
--- a/internal/claims/store.go
+++ b/internal/claims/store.go
@@ -34,10 +34,10 @@
 	bucketRecords    = []byte("records")
 	bucketTombstones = []byte("tombstones")
 
-	keyFormat  = []byte("format")
-	keyOpened  = []byte("opened")
-	keyUsed    = []byte("used")
-	keyHistory = []byte("homes")
+	keyFormat         = []byte("format")
+	keyTableComplete  = []byte("opened")
+	keyPeerHasGranted = []byte("used")
+	keyHistory        = []byte("homes")
 
 	allBuckets = [][]byte{bucketMeta, bucketRecords, bucketTombstones}
 )
@@ -59,14 +59,14 @@
 	Record Record
 }
 
-// loaded is the content of a claims file.
-type loaded struct {
+// storeContent is the content of a claims file.
+type storeContent struct {
 	changes []change
 	history keeperSetHistory
-	// opened is set if the keeper has been allowed to grant before, so that the table is complete.
-	opened bool
-	// used is set if another keeper has reported earlier grants.
-	used bool
+	// tableComplete is set if the keeper has been allowed to grant before, so that the table is complete.
+	tableComplete bool
+	// peerHasGranted is set if another keeper has reported earlier grants.
+	peerHasGranted bool
 }
 
 // store persists a Table. Writes are committed in enqueue order, all pending ones in one transaction.
@@ -83,15 +83,15 @@
 
 // write is a set of changes that is committed atomically.
 type write struct {
-	changes []change
-	history keeperSetHistory
-	opened  bool
-	used    bool
-	result  chan error // buffered, receives exactly once
+	changes        []change
+	history        keeperSetHistory
+	tableComplete  bool
+	peerHasGranted bool
+	result         chan error // buffered, receives exactly once
 }
 
 // openStore opens or creates the claims file in the folder and loads it.
-func openStore(folder string) (opened *store, content loaded, err error) {
+func openStore(folder string) (opened *store, content storeContent, err error) {
 	defer func() {
 		// bbolt panics on inconsistent pages.
 		if fault := recover(); fault != nil {
@@ -99,16 +99,16 @@
 		}
 	}()
 	if err := os.MkdirAll(folder, folderMode); err != nil {
-		return nil, loaded{}, fmt.Errorf("claims: %w", err)
+		return nil, storeContent{}, fmt.Errorf("claims: %w", err)
 	}
 	path := filepath.Join(folder, storeFile)
 	db, err := bolt.Open(path, storeMode, &bolt.Options{Timeout: lockTimeout})
 	if err != nil {
-		return nil, loaded{}, openError(err)
+		return nil, storeContent{}, openError(err)
 	}
 	content, err = load(db)
 	if err != nil {
-		return nil, loaded{}, errors.Join(err, db.Close())
+		return nil, storeContent{}, errors.Join(err, db.Close())
 	}
 	s := &store{db: db, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go s.run()
@@ -125,14 +125,14 @@
 	return fmt.Errorf("claims: open %s: %w", storeFile, err)
 }
 
-// setAside renames a corrupt file to keep it for inspection.
-func setAside(folder string, now time.Time) error {
+// renameCorruptFile renames a corrupt file to keep it for inspection.
+func renameCorruptFile(folder string, now time.Time) error {
 	path := filepath.Join(folder, storeFile)
 	return os.Rename(path, fmt.Sprintf("%s.damaged-%d", path, now.UnixNano()))
 }
 
-func load(db *bolt.DB) (loaded, error) {
-	content := loaded{history: make(keeperSetHistory)}
+func load(db *bolt.DB) (storeContent, error) {
+	content := storeContent{history: make(keeperSetHistory)}
 	err := db.Update(func(tx *bolt.Tx) error {
 		for _, name := range allBuckets {
 			if _, err := tx.CreateBucketIfNotExists(name); err != nil {
@@ -147,7 +147,7 @@
 	return content, db.View(func(tx *bolt.Tx) error { return loadTable(tx, &content) })
 }
 
-func loadMeta(meta *bolt.Bucket, content *loaded) error {
+func loadMeta(meta *bolt.Bucket, content *storeContent) error {
 	format := meta.Get(keyFormat)
 	if format == nil {
 		return meta.Put(keyFormat, []byte{storeFormat})
@@ -155,15 +155,15 @@
 	if !bytes.Equal(format, []byte{storeFormat}) {
 		return ErrFormat
 	}
-	content.opened = meta.Get(keyOpened) != nil
-	content.used = meta.Get(keyUsed) != nil
+	content.tableComplete = meta.Get(keyTableComplete) != nil
+	content.peerHasGranted = meta.Get(keyPeerHasGranted) != nil
 	if history := meta.Get(keyHistory); history != nil {
 		return decodeWithChecksum(history, &content.history)
 	}
 	return nil
 }
 
-func loadTable(tx *bolt.Tx, content *loaded) error {
+func loadTable(tx *bolt.Tx, content *storeContent) error {
 	err := tx.Bucket(bucketRecords).ForEach(func(_, value []byte) error {
 		var entry diskRecord
 		if err := decodeWithChecksum(value, &entry); err != nil {
@@ -257,13 +257,13 @@
 }
 
 func writeMeta(meta *bolt.Bucket, w write) error {
-	if w.opened {
-		if err := meta.Put(keyOpened, []byte{1}); err != nil {
+	if w.tableComplete {
+		if err := meta.Put(keyTableComplete, []byte{1}); err != nil {
 			return err
 		}
 	}
-	if w.used {
-		if err := meta.Put(keyUsed, []byte{1}); err != nil {
+	if w.peerHasGranted {
+		if err := meta.Put(keyPeerHasGranted, []byte{1}); err != nil {
 			return err
 		}
 	}
--- a/internal/claims/store_test.go
+++ b/internal/claims/store_test.go
@@ -19,14 +19,14 @@
 		folder := t.TempDir()
 		s, content, err := openStore(folder)
 		So(err, ShouldBeNil)
-		So(content.opened, ShouldBeFalse)
+		So(content.tableComplete, ShouldBeFalse)
 		until := time.Unix(50, 0).UTC()
 		kept := runningRecord("a", 3)
 		kept.Expires = until
 		gone := Key{Key: "gone"}
 		history := keeperSetHistory{testPool: {{Members: []string{"n"}}}}
 		steps := []write{
-			{changes: []change{{key: modelKey, record: &kept}, {key: gone, record: &kept}}, opened: true},
+			{changes: []change{{key: modelKey, record: &kept}, {key: gone, record: &kept}}, tableComplete: true},
 			{changes: []change{{key: gone}, {tombstone: "b", until: until}}, history: history},
 			{changes: []change{{tombstone: "c", until: until}, {tombstone: "c"}}},
 		}
@@ -34,11 +34,11 @@
 			So(<-s.enqueue(step), ShouldBeNil)
 		}
 		So(s.close(), ShouldBeNil)
-		So(<-s.enqueue(write{opened: true}), ShouldEqual, errStoreClosed)
+		So(<-s.enqueue(write{tableComplete: true}), ShouldEqual, errStoreClosed)
 
 		s, content, err = openStore(folder)
 		So(err, ShouldBeNil)
-		So(content.opened, ShouldBeTrue)
+		So(content.tableComplete, ShouldBeTrue)
 		So(content.history, ShouldResemble, history)
 		So(len(content.changes), ShouldEqual, 2)
 		So(content.changes[0].key, ShouldResemble, modelKey)
@@ -82,7 +82,7 @@
 	})
 }
 
-func TestBounds(t *testing.T) {
+func TestAnswerEviction(t *testing.T) {
 	Convey("Answers beyond MaxAnswerBytes are evicted, oldest first, and their outcomes stay", t, func() {
 		now := time.Unix(1, 0)
 		r := NewTable(Limits{Retention: time.Minute, MaxEntries: 10, MaxAnswerBytes: 400})
--- a/internal/claims/table.go
+++ b/internal/claims/table.go
@@ -145,7 +145,7 @@
 	}
 	stated.Expires = now.Add(r.limits.Retention)
 	changes := []change{r.put(key, stated)}
-	return true, append(changes, r.trimAnswers()...)
+	return true, append(changes, r.evictAnswers()...)
 }
 
 // Release removes an unfinished claim and records a tombstone that rejects delayed messages of it. It returns false if
@@ -238,8 +238,8 @@
 	return r.put(key, bare)
 }
 
-// trimAnswers evicts the oldest answers until MaxAnswerBytes is met.
-func (r *Table) trimAnswers() []change {
+// evictAnswers evicts the oldest answers until MaxAnswerBytes is met.
+func (r *Table) evictAnswers() []change {
 	var changes []change
 	for r.answerBytes > r.limits.MaxAnswerBytes && len(r.answers) > 0 {
 		key := r.answers[0]
--- a/internal/claims/table_test.go
+++ b/internal/claims/table_test.go
@@ -31,12 +31,12 @@
 	if got := verdictAfter(guards{noKeeperSetHistory: true}, time.Second); got != verdictGranted {
 		t.Errorf("with the rule disabled: got verdict %s", got)
 	}
-	if majoritiesMeet([]string{"a", "b", "c"}, []string{"a", "b", "d"}) || !majoritiesMeet([]string{"a", "b"}, []string{"a", "b", "c"}) {
-		t.Error("majorities must meet if one member is added or removed, and not if one is replaced")
+	if majoritiesIntersect([]string{"a", "b", "c"}, []string{"a", "b", "d"}) || !majoritiesIntersect([]string{"a", "b"}, []string{"a", "b", "c"}) {
+		t.Error("majorities must intersect if one member is added or removed, and not if one is replaced")
 	}
 }
 
-func TestLateStatements(t *testing.T) {
+func TestDelayedMessages(t *testing.T) {
 	now := time.Unix(1, 0)
 	finished := Record{ID: "a", State: StateFinished, Stored: gateway.StoredOutcome{Outcome: v1.OutcomeUnknown}}
 	for name, test := range map[string]struct {
--- a/internal/claims/votecounter.go
+++ b/internal/claims/votecounter.go
@@ -24,11 +24,11 @@
 	guards  guards
 	members int
 	granted int
-	// answered counts replies and failures; silent counts those that may conceal a grant to another claim.
-	answered int
-	silent   int
-	// holders counts, per other claim ID, the keepers where it holds the key.
-	holders map[string]int
+	// answered counts replies and failures; indeterminate counts those that may conceal a grant to another claim.
+	answered      int
+	indeterminate int
+	// otherGrants counts, per other claim ID, the keepers where it holds the key.
+	otherGrants map[string]int
 	// existingRecord is the first record of another claim with the most advanced state.
 	existingRecord Record
 	// refusals counts replies that are neither grants nor existing claims.
@@ -36,7 +36,7 @@
 }
 
 func newVoteCounter(members int, rules guards) *voteCounter {
-	return &voteCounter{guards: rules, members: members, holders: make(map[string]int), refusals: make(map[verdict]int)}
+	return &voteCounter{guards: rules, members: members, otherGrants: make(map[string]int), refusals: make(map[verdict]int)}
 }
 
 // add counts one reply; failed means that the call to the keeper failed.
@@ -44,23 +44,23 @@
 	t.answered++
 	switch {
 	case failed:
-		t.silent++
+		t.indeterminate++
 	case reply.Verdict == verdictGranted:
 		t.granted++
 	case reply.Verdict == verdictExisting:
-		t.holders[reply.Record.ID]++
+		t.otherGrants[reply.Record.ID]++
 		if t.existingRecord.State < reply.Record.State {
 			t.existingRecord = reply.Record
 		}
 	default:
-		t.silent++
+		t.indeterminate++
 		t.refusals[reply.Verdict]++
 	}
 }
 
-// end counts the keepers without a reply as silent.
-func (t *voteCounter) end() {
-	t.silent += t.members - t.answered
+// closeVoting counts the keepers without a reply as indeterminate.
+func (t *voteCounter) closeVoting() {
+	t.indeterminate += t.members - t.answered
 	t.answered = t.members
 }
 
@@ -78,7 +78,7 @@
 		return resultHeld
 	case waiting > 0:
 		return resultOpen
-	case t.maxOtherGrants() > 0 && t.maxOtherGrants()+t.silent >= majority:
+	case t.maxOtherGrants() > 0 && t.maxOtherGrants()+t.indeterminate >= majority:
 		return resultHeld
 	}
 	return resultFailed
@@ -87,13 +87,13 @@
 // maxOtherGrants returns the highest number of keepers held by one other claim.
 func (t *voteCounter) maxOtherGrants() int {
 	most := 0
-	for _, count := range t.holders {
+	for _, count := range t.otherGrants {
 		most = max(most, count)
 	}
 	return most
 }
 
-// existing returns the gateway result for a key held by another claim.
-func (t *voteCounter) existing() gateway.ClaimResult {
+// existingResult returns the gateway result for a key held by another claim.
+func (t *voteCounter) existingResult() gateway.ClaimResult {
 	return gateway.ClaimResult{State: gateway.ClaimExisting, Stored: t.existingRecord.Stored, Fingerprint: t.existingRecord.Fingerprint}
 }
--- a/internal/claims/votes.go
+++ b/internal/claims/votes.go
@@ -19,24 +19,24 @@
 
 // Votes counts the replies of one keeper set as a Manager does, for callers with their own transport, such as a
 // simulation.
-type Votes struct{ tally *voteCounter }
+type Votes struct{ counter *voteCounter }
 
 // NewVotes returns the vote of a claim without replies.
-func NewVotes(members int) *Votes { return &Votes{tally: newVoteCounter(members, allGuards)} }
+func NewVotes(members int) *Votes { return &Votes{counter: newVoteCounter(members, allGuards)} }
 
 // Add counts a keeper's decision. The record is used with DecisionExisting only.
 func (v *Votes) Add(decision Decision, record Record) {
-	v.tally.add(claimReply{Verdict: verdictOf(decision), Record: record}, false)
+	v.counter.add(claimReply{Verdict: verdictOf(decision), Record: record}, false)
 }
 
 // Abstain counts a keeper that abstained or could not be reached.
-func (v *Votes) Abstain() { v.tally.add(claimReply{Verdict: verdictAbstains}, false) }
+func (v *Votes) Abstain() { v.counter.add(claimReply{Verdict: verdictAbstains}, false) }
 
-// End counts the keepers without a reply as silent.
-func (v *Votes) End() { v.tally.end() }
+// End counts the keepers without a reply as indeterminate.
+func (v *Votes) End() { v.counter.closeVoting() }
 
 // Result returns the current state of the vote.
-func (v *Votes) Result() VoteResult { return VoteResult(v.tally.result()) }
+func (v *Votes) Result() VoteResult { return VoteResult(v.counter.result()) }
 
 // Seen returns the first record of another claim with the most advanced state.
-func (v *Votes) Seen() Record { return v.tally.existingRecord }
+func (v *Votes) Seen() Record { return v.counter.existingRecord }
