--- a/internal/claims/votes.go
+++ b/internal/claims/votes.go
@@ -38,5 +38,5 @@
 // Result returns the current state of the vote.
 func (v *Votes) Result() VoteResult { return VoteResult(v.counter.result()) }
 
-// Seen returns the first record of another claim with the most advanced state.
-func (v *Votes) Seen() Record { return v.counter.existingRecord }
+// ExistingRecord returns the first record of another claim with the most advanced state.
+func (v *Votes) ExistingRecord() Record { return v.counter.existingRecord }
