--- a/internal/claims/claim.go
+++ b/internal/claims/claim.go
@@ -19,31 +19,30 @@
 	retryAfterUnreachable = 2 * time.Second
 	retryAfterAbstaining  = 5 * time.Second
 	retryAfterContended   = time.Second
-	// releaseWait bounds the wait for a release, which goes on in the background.
-	releaseWait    = 300 * time.Millisecond
-	noteFirstDelay = 50 * time.Millisecond
-	noteMaxDelay   = 2 * time.Second
-	// noteAttemptTimeout bounds one message to one keeper.
-	noteAttemptTimeout = 2 * time.Second
+	// releaseWait bounds how long Finish waits for a release; the release continues in the background.
+	releaseWait          = 300 * time.Millisecond
+	updateInitialBackoff = 50 * time.Millisecond
+	updateMaxBackoff     = 2 * time.Second
+	// updateCallTimeout bounds a single call to a keeper.
+	updateCallTimeout = 2 * time.Second
 )
 
-// errNotNoted is the answer of a keeper that could not take a statement in.
-var errNotNoted = errors.New("claims: a keeper could not note the outcome")
+// errNotRecorded reports a keeper that did not record an update or a release.
+var errNotRecorded = errors.New("claims: keeper did not record the update")
 
-// attempt is one claim of this gateway.
+// attempt is a claim made by this gateway that is not finished.
 type attempt struct {
 	key         Key
 	id          string
 	fingerprint uint64
-	// nodes are the keepers that may have heard of the claim.
+	// nodes are the keepers that may have received the claim.
 	nodes []cluster.Node
-	// home are the keepers that granted it or were asked to; empty until granted.
-	home []cluster.Node
+	// grantedBy is the keeper set whose majority granted the claim; empty until then.
+	grantedBy []cluster.Node
 }
 
-// Claim implements gateway.Claims. It returns as soon as a majority has granted, another claim is known to be finished,
-// or the rest of the answers cannot change anything. Every error is a *v1.Error with outcome not_run: unreachable or
-// abstaining majority, full table, or a zone where the pool's data may not be.
+// Claim implements gateway.Claims. It returns as soon as the replies received so far decide the result. Every error is
+// a *v1.Error with outcome not_run: majority unreachable or abstaining, table full, or zone not permitted for the pool.
 func (m *Manager) Claim(ctx context.Context, request gateway.ClaimRequest) (gateway.ClaimResult, error) {
 	started := time.Now()
 	result, err := m.claim(ctx, request)
@@ -57,137 +56,139 @@
 	if !view.Permitted(key.Pool, m.params.Self.Zone) {
 		return gateway.ClaimResult{}, v1.NotRun(v1.CodeUnavailable, retryAfterUnreachable, "the pool is not permitted in this zone")
 	}
-	keepers := home(view, key.Pool, m.params.Seeds)
+	keepers := keeperSet(view, key.Pool, m.params.Seeds)
 	if len(keepers) == 0 {
-		return gateway.ClaimResult{}, v1.NotRun(v1.CodeUnavailable, retryAfterUnreachable, "no node keeps claims for the pool")
+		return gateway.ClaimResult{}, v1.NotRun(v1.CodeUnavailable, retryAfterUnreachable, "the pool has no claim keepers")
 	}
 	a := &attempt{key: key, id: request.ID, fingerprint: request.Fingerprint}
-	if !m.track(a) {
+	if !m.addAttempt(a) {
 		return gateway.ClaimResult{}, v1.NotRun(v1.CodeUnavailable, retryAfterUnreachable, "the node is stopping")
 	}
-	votes, other := m.ask(ctx, a, keepers, view.Revision)
-	if usable(view, key.Pool, other) && votes.result() == resultFailed && ctx.Err() == nil {
-		votes, _ = m.ask(ctx, a, other, view.Revision)
+	votes, other := m.collectVotes(ctx, a, keepers, view.Revision)
+	if validKeeperSet(view, key.Pool, other) && votes.result() == resultFailed && ctx.Err() == nil {
+		votes, _ = m.collectVotes(ctx, a, other, view.Revision)
 	}
-	return m.conclude(ctx, a, votes)
+	return m.claimResult(ctx, a, votes)
 }
 
-// usable reports whether a home that keepers named may hold the pool's claims.
-func usable(view *cluster.View, pool string, members []cluster.Node) bool {
+// validKeeperSet reports whether a keeper set from a reply is non-empty, of valid size and entirely in permitted zones.
+func validKeeperSet(view *cluster.View, pool string, members []cluster.Node) bool {
 	forbidden := func(node cluster.Node) bool { return !view.Permitted(pool, node.Zone) }
 	return len(members) > 0 && len(members) <= maxKeepers && !slices.ContainsFunc(members, forbidden)
 }
 
-// ask collects answers until the result stands. When keepers name another home, it returns that of the most.
-func (m *Manager) ask(ctx context.Context, a *attempt, keepers []cluster.Node, revision uint64) (*tally, []cluster.Node) {
-	m.addNodes(a, keepers)
+// collectVotes sends the claim to the keepers and counts their replies until the result is decided, the claim window
+// ends or ctx is done. It also returns the keeper set that most mismatch replies named, or nil.
+func (m *Manager) collectVotes(ctx context.Context, a *attempt, keepers []cluster.Node, revision uint64) (*voteCounter, []cluster.Node) {
+	m.addContactedNodes(a, keepers)
 	message := claimMessage{Key: a.key, ID: a.id, Fingerprint: a.fingerprint, Members: names(keepers), Revision: revision}
-	asking, cancel := context.WithTimeout(m.ctx, claimWindow)
-	answers := make(chan answerOf[claimReply], len(keepers))
-	started := m.spawn(func() {
+	callCtx, cancel := context.WithTimeout(m.ctx, claimWindow)
+	answers := make(chan nodeReply[claimReply], len(keepers))
+	started := m.startBackground(func() {
 		defer cancel()
-		for answer := range askAll(asking, keepers, m.claimer(message)) {
+		for answer := range broadcast(callCtx, keepers, m.claimCall(message)) {
 			answers <- answer
 		}
 	})
 	if !started {
 		cancel()
 	}
-	votes := newTally(len(keepers), m.guards)
-	homes := newPoll()
+	votes := newVoteCounter(len(keepers), m.guards)
+	sets := newKeeperSetVotes()
 	window := time.NewTimer(claimWindow)
 	defer window.Stop()
 	for votes.result() == resultOpen {
 		select {
 		case answer := <-answers:
 			votes.add(answer.value, answer.err != nil)
-			homes.add(answer.value.Home)
+			sets.add(answer.value.Home)
 		case <-ctx.Done():
-			votes.end()
+			votes.closeVoting()
 		case <-window.C:
-			votes.end()
+			votes.closeVoting()
 		}
 	}
 	if votes.result() == resultGranted {
-		m.setHome(a, keepers)
+		m.setGrantedBy(a, keepers)
 	}
-	return votes, homes.winner()
+	return votes, sets.winner()
 }
 
-func (m *Manager) claimer(message claimMessage) func(context.Context, cluster.Node) (claimReply, error) {
+func (m *Manager) claimCall(message claimMessage) func(context.Context, cluster.Node) (claimReply, error) {
 	return func(ctx context.Context, node cluster.Node) (claimReply, error) {
 		if node.Name == m.params.Self.Name {
-			return m.answer(message, m.params.Self.Zone), nil
+			return m.serveClaim(message, m.params.Self.Zone), nil
 		}
 		return rpc.Call[claimMessage, claimReply](ctx, m.params.Client, node.Address, message)
 	}
 }
 
-// conclude turns the votes into the gateway's answer. A claim that is not granted is released in the background.
-func (m *Manager) conclude(ctx context.Context, a *attempt, votes *tally) (gateway.ClaimResult, error) {
+// claimResult converts the votes to the result of Claim. If another claim holds the key, it releases this one in the
+// background.
+func (m *Manager) claimResult(ctx context.Context, a *attempt, votes *voteCounter) (gateway.ClaimResult, error) {
 	outcome := votes.result()
 	if outcome == resultGranted {
 		return gateway.ClaimResult{State: gateway.ClaimGranted}, nil
 	}
 	if outcome == resultFinished || outcome == resultHeld {
-		m.forget(a.id)
-		m.spawn(func() { m.releaseEverywhere(m.ctx, a) })
-		return votes.existing(), nil
+		m.removeAttempt(a.id)
+		m.startBackground(func() { m.releaseAll(m.ctx, a) })
+		return votes.existingResult(), nil
 	}
-	// The gateway now calls Finish with not_run, which releases.
-	return gateway.ClaimResult{}, refusal(ctx, votes)
+	// After an error the gateway calls Finish with not_run, which releases the claim.
+	return gateway.ClaimResult{}, notGrantedError(ctx, votes)
 }
 
-// refusal explains why a claim got no majority.
-func refusal(ctx context.Context, votes *tally) error {
+// notGrantedError returns the error for a claim that was not granted by a majority.
+func notGrantedError(ctx context.Context, votes *voteCounter) error {
 	switch {
 	case ctx.Err() != nil:
-		return v1.NotRun(v1.CodeDeadlineExceeded, retryAfterContended, "the request ended before it was claimed")
+		return v1.NotRun(v1.CodeDeadlineExceeded, retryAfterContended, "the request was canceled or timed out before its claim was granted")
 	case votes.refusals[verdictFull] > 0:
-		return v1.NotRun(v1.CodeOverloaded, retryAfterAbstaining, "the table of claims is full")
+		return v1.NotRun(v1.CodeOverloaded, retryAfterAbstaining, "the claim table of a keeper is full")
 	case votes.refusals[verdictForbidden] > 0:
-		return v1.NotRun(v1.CodeUnavailable, retryAfterUnreachable, "a keeper of claims may not hold the pool's data")
+		return v1.NotRun(v1.CodeUnavailable, retryAfterUnreachable, "the pool is not permitted in the zone of a claim keeper")
 	case votes.refusals[verdictAbstains] > 0:
-		return v1.NotRun(v1.CodeUnavailable, retryAfterAbstaining, "too many keepers of claims abstain after a start or a change")
-	case len(votes.holders) > 0:
+		return v1.NotRun(v1.CodeUnavailable, retryAfterAbstaining, "too many claim keepers abstain after a restart or a change of the keeper set")
+	case len(votes.otherGrants) > 0:
 		wait := retryAfterContended + rand.N(retryAfterContended)
-		return v1.NotRun(v1.CodeUnavailable, wait, "several requests with this key met")
+		return v1.NotRun(v1.CodeUnavailable, wait, "concurrent requests with this key conflict")
 	}
-	return v1.NotRun(v1.CodeUnavailable, retryAfterUnreachable, "no majority of the keepers of claims can be reached")
+	return v1.NotRun(v1.CodeUnavailable, retryAfterUnreachable, "cannot reach a majority of the claim keepers")
 }
 
-// Finish implements gateway.Claims. It returns once a majority of the keepers has noted the outcome; the others are told
-// in the background. A release waits for a moment only, since nothing but a repeated request depends on it. A claim that
-// this Manager has not taken, or has finished, is left alone.
+// Finish implements gateway.Claims. It returns once a majority of the keepers has recorded the outcome; the remaining
+// keepers are updated in the background. The wait for a release is bounded by releaseWait. Finish does nothing for a
+// claim that this Manager did not make or has already finished.
 func (m *Manager) Finish(ctx context.Context, request gateway.ClaimRequest, stored gateway.StoredOutcome) error {
-	a := m.forget(request.ID)
+	a := m.removeAttempt(request.ID)
 	if a == nil {
 		return nil
 	}
-	if stored.Outcome == v1.OutcomeNotRun || len(a.home) == 0 {
-		return m.releaseSoon(ctx, a)
+	if stored.Outcome == v1.OutcomeNotRun || len(a.grantedBy) == 0 {
+		return m.releaseBounded(ctx, a)
 	}
 	if answerSize(stored.Answer) > maxAnswerBytes {
 		stored.Answer = nil
 	}
 	record := Record{ID: a.id, State: StateFinished, Fingerprint: a.fingerprint, Stored: stored}
-	return m.tellMajority(ctx, a.home, m.teller(learnMessage{Key: a.key, Record: record}))
+	return m.callMajority(ctx, a.grantedBy, m.updateCall(learnMessage{Key: a.key, Record: record}))
 }
 
-// releaseSoon releases the claim and does not hold up a refusal when keepers cannot be reached.
-func (m *Manager) releaseSoon(ctx context.Context, a *attempt) error {
+// releaseBounded releases the claim. It waits at most releaseWait, so that unreachable keepers do not delay a refusal.
+func (m *Manager) releaseBounded(ctx context.Context, a *attempt) error {
 	ctx, cancel := context.WithTimeout(ctx, releaseWait)
 	defer cancel()
-	err := m.releaseEverywhere(ctx, a)
+	err := m.releaseAll(ctx, a)
 	if errors.Is(err, context.DeadlineExceeded) {
 		return nil
 	}
 	return err
 }
 
-func (m *Manager) releaseEverywhere(ctx context.Context, a *attempt) error {
+func (m *Manager) releaseAll(ctx context.Context, a *attempt) error {
 	message := releaseMessage{Key: a.key, ID: a.id}
-	return m.tellMajority(ctx, a.nodes, func(ctx context.Context, node cluster.Node) (noteReply, error) {
+	return m.callMajority(ctx, a.nodes, func(ctx context.Context, node cluster.Node) (noteReply, error) {
 		if node.Name == m.params.Self.Name {
 			return m.keeper.release(message), nil
 		}
@@ -195,68 +196,68 @@
 	})
 }
 
-func (m *Manager) teller(message learnMessage) func(context.Context, cluster.Node) (noteReply, error) {
+func (m *Manager) updateCall(message learnMessage) func(context.Context, cluster.Node) (noteReply, error) {
 	return func(ctx context.Context, node cluster.Node) (noteReply, error) {
 		if node.Name == m.params.Self.Name {
-			return m.keeper.learn(message, m.params.Self.Zone), nil
+			return m.keeper.update(message, m.params.Self.Zone), nil
 		}
 		return rpc.Call[learnMessage, noteReply](ctx, m.params.Client, node.Address, message)
 	}
 }
 
-// renew states again that the running claims run, so that their records outlive the retention time and reach keepers
-// that have lost them.
+// renew resends the running claims to their keepers, so that the records do not expire and keepers that lost them
+// regain them.
 func (m *Manager) renew() {
 	m.mu.Lock()
 	running := make([]attempt, 0, len(m.attempts))
 	for _, a := range m.attempts {
-		if len(a.home) > 0 {
+		if len(a.grantedBy) > 0 {
 			running = append(running, *a)
 		}
 	}
 	m.mu.Unlock()
-	m.spawn(func() {
+	m.startBackground(func() {
 		for _, a := range running {
-			if err := m.tellMajority(m.ctx, a.home, m.teller(learnMessage{Key: a.key, Record: heldRecord(a.id, a.fingerprint)})); err != nil {
+			if err := m.callMajority(m.ctx, a.grantedBy, m.updateCall(learnMessage{Key: a.key, Record: runningRecord(a.id, a.fingerprint)})); err != nil {
 				m.metrics.renewFailures.Inc()
 			}
 		}
 	})
 }
 
-// tellMajority tells every node, again after failures, and returns once a majority has noted it. What is left goes on
-// in the background.
-func (m *Manager) tellMajority(ctx context.Context, nodes []cluster.Node, tell func(context.Context, cluster.Node) (noteReply, error)) error {
+// callMajority sends an update to every node with retries and returns once a majority has recorded it. Remaining calls
+// continue in the background for up to updateWindow.
+func (m *Manager) callMajority(ctx context.Context, nodes []cluster.Node, call func(context.Context, cluster.Node) (noteReply, error)) error {
 	if len(nodes) == 0 {
 		return nil
 	}
 	answers := make(chan error, len(nodes))
-	telling, cancel := context.WithTimeout(m.ctx, noteWindow)
-	started := m.spawn(func() {
+	callCtx, cancel := context.WithTimeout(m.ctx, updateWindow)
+	started := m.startBackground(func() {
 		defer cancel()
-		for answer := range askAll(telling, nodes, persistently(tell)) {
+		for answer := range broadcast(callCtx, nodes, withRetries(call)) {
 			answers <- answer.err
 		}
 	})
 	if !started {
 		cancel()
-		return errNotNoted
+		return errNotRecorded
 	}
 	return awaitMajority(ctx, answers, len(nodes))
 }
 
-// awaitMajority returns nil when more than half of the answers are good.
+// awaitMajority returns nil once more than half of total succeeded, or the last error once that is impossible.
 func awaitMajority(ctx context.Context, answers <-chan error, total int) error {
-	noted, failed := 0, 0
+	succeeded, failed := 0, 0
 	var last error
-	for noted <= total/2 {
+	for succeeded <= total/2 {
 		if failed*2 >= total {
 			return last
 		}
 		select {
 		case err := <-answers:
 			if err == nil {
-				noted++
+				succeeded++
 				continue
 			}
 			failed++
@@ -268,31 +269,31 @@
 	return nil
 }
 
-// persistently repeats tell until the node has noted it, may not, or ctx ends.
-func persistently(tell func(context.Context, cluster.Node) (noteReply, error)) func(context.Context, cluster.Node) (noteReply, error) {
+// withRetries retries call with backoff until the node records the update, answers Forbidden, or ctx ends.
+func withRetries(call func(context.Context, cluster.Node) (noteReply, error)) func(context.Context, cluster.Node) (noteReply, error) {
 	return func(ctx context.Context, node cluster.Node) (noteReply, error) {
-		delays := backoff.NewExponentialBackOff()
-		delays.InitialInterval = noteFirstDelay
-		delays.MaxInterval = noteMaxDelay
+		policy := backoff.NewExponentialBackOff()
+		policy.InitialInterval = updateInitialBackoff
+		policy.MaxInterval = updateMaxBackoff
 		return backoff.Retry(ctx, func() (noteReply, error) {
-			once, cancel := context.WithTimeout(ctx, noteAttemptTimeout)
+			callCtx, cancel := context.WithTimeout(ctx, updateCallTimeout)
 			defer cancel()
-			reply, err := tell(once, node)
+			reply, err := call(callCtx, node)
 			switch {
 			case err != nil:
 				return reply, err
 			case reply.Forbidden:
-				return reply, backoff.Permanent(errNotNoted)
+				return reply, backoff.Permanent(errNotRecorded)
 			case !reply.Noted:
-				return reply, errNotNoted
+				return reply, errNotRecorded
 			}
 			return reply, nil
-		}, backoff.WithBackOff(delays), backoff.WithMaxElapsedTime(0))
+		}, backoff.WithBackOff(policy), backoff.WithMaxElapsedTime(0))
 	}
 }
 
-// track remembers the attempt until forget. It reports false once the Manager is closed.
-func (m *Manager) track(a *attempt) bool {
+// addAttempt registers an unfinished attempt. It reports false once the Manager is closed.
+func (m *Manager) addAttempt(a *attempt) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.closed {
@@ -302,8 +303,8 @@
 	return true
 }
 
-// forget returns a copy of the attempt and forgets it; nil if there is none.
-func (m *Manager) forget(id string) *attempt {
+// removeAttempt removes the attempt and returns it, or nil if there is none.
+func (m *Manager) removeAttempt(id string) *attempt {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	a, ok := m.attempts[id]
@@ -314,7 +315,7 @@
 	return a
 }
 
-func (m *Manager) addNodes(a *attempt, nodes []cluster.Node) {
+func (m *Manager) addContactedNodes(a *attempt, nodes []cluster.Node) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, node := range nodes {
@@ -324,38 +325,38 @@
 	}
 }
 
-func (m *Manager) setHome(a *attempt, nodes []cluster.Node) {
+func (m *Manager) setGrantedBy(a *attempt, nodes []cluster.Node) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	a.home = nodes
+	a.grantedBy = nodes
 }
 
-// poll counts the homes that keepers name.
-type poll struct {
-	homes  map[string][]cluster.Node
+// keeperSetVotes counts the keeper sets named by mismatch replies.
+type keeperSetVotes struct {
+	sets   map[string][]cluster.Node
 	counts map[string]int
 }
 
-func newPoll() *poll {
-	return &poll{homes: make(map[string][]cluster.Node), counts: make(map[string]int)}
+func newKeeperSetVotes() *keeperSetVotes {
+	return &keeperSetVotes{sets: make(map[string][]cluster.Node), counts: make(map[string]int)}
 }
 
-func (p *poll) add(members []cluster.Node) {
+func (p *keeperSetVotes) add(members []cluster.Node) {
 	if len(members) == 0 {
 		return
 	}
-	label := label(members)
-	p.homes[label] = members
+	label := joinNames(members)
+	p.sets[label] = members
 	p.counts[label]++
 }
 
-// winner returns the home that was named most; nil if there was none.
-func (p *poll) winner() []cluster.Node {
+// winner returns the keeper set named most often, or nil. Ties are broken by the joined member names.
+func (p *keeperSetVotes) winner() []cluster.Node {
 	best := ""
 	for label, count := range p.counts {
 		if count > p.counts[best] || (count == p.counts[best] && label < best) {
 			best = label
 		}
 	}
-	return p.homes[best]
+	return p.sets[best]
 }
--- a/internal/claims/keeper.go
+++ b/internal/claims/keeper.go
@@ -8,46 +8,47 @@
 	"github.com/covelink/covelink/internal/cluster"
 )
 
-// homeMargin is added to the retention time before a former home is forgotten: nodes that have not heard of a
-// revision may go on granting for a lease length.
-const homeMargin = time.Minute
+// keeperSetMargin extends how long former keeper sets are retained: a node that has not received a revision may
+// continue to grant for one lease length.
+const keeperSetMargin = time.Minute
 
-// keeper answers claims from one Register. It grants only what is safe given its view, its past and its file.
+// keeper serves claims from one Table and persists them. It grants only when its view, its keeper set history and its
+// table allow it.
 type keeper struct {
-	self   cluster.Node
-	source cluster.Source
-	seeds  []cluster.Node
-	limits Limits
-	guards guards
-	now    func() time.Time
-	life   string
+	self      cluster.Node
+	source    cluster.Source
+	seeds     []cluster.Node
+	limits    Limits
+	guards    guards
+	now       func() time.Time
+	processID string
 
-	mu       sync.Mutex
-	register *Register
-	history  homeHistory
-	store    *store // nil without a data folder
-	started  time.Time
-	// opened tells that the table is complete: it holds every claim that this keeper has granted within the retention time.
-	opened bool
-	// used tells that another keeper is not new: claims were granted, which this keeper may have forgotten.
-	used bool
-	// clearedLives are the lives that this keeper found new when it was cleared itself.
-	clearedLives []string
+	mu      sync.Mutex
+	table   *Table
+	history keeperSetHistory
+	store   *store // nil without a data folder
+	started time.Time
+	// tableComplete is set once the table holds every claim that this keeper has granted within the retention time.
+	tableComplete bool
+	// peerHasGranted is set once another keeper reported earlier grants, which may be missing from this table.
+	peerHasGranted bool
+	// clearedProcesses are the peer process IDs that the successful bootstrap of this keeper found new.
+	clearedProcesses []string
 }
 
-// claim answers one claim of a node in peerZone.
+// claim serves a claim from a node in peerZone and returns once the decision is durable.
 func (k *keeper) claim(message claimMessage, peerZone string) claimReply {
 	k.mu.Lock()
-	reply, durable := k.decide(message, peerZone)
+	reply, durable := k.applyClaim(message, peerZone)
 	k.mu.Unlock()
-	if err := await(durable); err != nil {
+	if err := awaitWrite(durable); err != nil {
 		return claimReply{Verdict: verdictStorage}
 	}
 	return reply
 }
 
-// decide holds the lock.
-func (k *keeper) decide(message claimMessage, peerZone string) (claimReply, <-chan error) {
+// applyClaim applies a claim and returns the pending write. The caller holds the lock.
+func (k *keeper) applyClaim(message claimMessage, peerZone string) (claimReply, <-chan error) {
 	now := k.now()
 	view := k.source.Current()
 	pool := message.Key.Pool
@@ -57,16 +58,16 @@
 	if !view.Permitted(pool, k.self.Zone) || !view.Permitted(pool, peerZone) {
 		return claimReply{Verdict: verdictForbidden}, nil
 	}
-	present := home(view, pool, k.seeds)
+	present := keeperSet(view, pool, k.seeds)
 	members := names(present)
-	k.observe(now, pool, members)
+	k.recordKeeperSet(now, pool, members)
 	if !slices.Equal(members, message.Members) {
-		return claimReply{Verdict: verdictOtherHome, Home: present}, nil
+		return claimReply{Verdict: verdictKeeperSetMismatch, Home: present}, nil
 	}
 	if !slices.Contains(members, k.self.Name) || !k.mayGrant(now, pool, members) {
 		return claimReply{Verdict: verdictAbstains}, nil
 	}
-	decision, record, changes := k.register.Claim(now, message.Key, message.ID, message.Fingerprint)
+	decision, record, changes := k.table.Claim(now, message.Key, message.ID, message.Fingerprint)
 	reply := claimReply{Verdict: verdictOf(decision)}
 	if decision == DecisionExisting {
 		reply.Record = record
@@ -86,115 +87,116 @@
 	return verdictReleased
 }
 
-// mayGrant reports whether the table is complete and the home has not just changed.
+// mayGrant reports whether the table is complete and the keeper set history allows a grant.
 func (k *keeper) mayGrant(now time.Time, pool string, members []string) bool {
-	if !k.guards.noAbstaining && !k.opened {
+	if !k.guards.noAbstaining && !k.tableComplete {
 		return false
 	}
-	return k.guards.noHomeHistory || k.history.mayGrant(now, pool, members, k.limits.Retention+homeMargin)
+	return k.guards.noKeeperSetHistory || k.history.mayGrant(now, pool, members, k.limits.Retention+keeperSetMargin)
 }
 
-// learn notes what a holder states, also while this keeper abstains.
-func (k *keeper) learn(message learnMessage, peerZone string) noteReply {
+// update records an update from a claim's holder, also while this keeper abstains.
+func (k *keeper) update(message learnMessage, peerZone string) noteReply {
 	k.mu.Lock()
-	if !k.mayHold(message.Key.Pool, peerZone) {
+	if !k.zonesPermitted(message.Key.Pool, peerZone) {
 		k.mu.Unlock()
 		return noteReply{Forbidden: true}
 	}
-	noted, changes := k.register.Learn(k.now(), message.Key, message.Record)
+	noted, changes := k.table.Update(k.now(), message.Key, message.Record)
 	durable := k.persist(write{changes: changes})
 	k.mu.Unlock()
-	return noteReply{Noted: await(durable) == nil && noted}
+	return noteReply{Noted: awaitWrite(durable) == nil && noted}
 }
 
-// release gives a claim up.
+// release removes a claim and records its tombstone.
 func (k *keeper) release(message releaseMessage) noteReply {
 	k.mu.Lock()
-	noted, changes := k.register.Release(k.now(), message.Key, message.ID)
+	noted, changes := k.table.Release(k.now(), message.Key, message.ID)
 	durable := k.persist(write{changes: changes})
 	k.mu.Unlock()
-	return noteReply{Noted: await(durable) == nil && noted}
+	return noteReply{Noted: awaitWrite(durable) == nil && noted}
 }
 
-func (k *keeper) mayHold(pool, peerZone string) bool {
+func (k *keeper) zonesPermitted(pool, peerZone string) bool {
 	view := k.source.Current()
 	return view.Permitted(pool, k.self.Zone) && view.Permitted(pool, peerZone)
 }
 
-// start answers a keeper that wants to know whether anything was ever granted.
-func (k *keeper) start(message startMessage) startReply {
+// bootstrapStatus serves a bootstrap query from another keeper.
+func (k *keeper) bootstrapStatus(message startMessage) startReply {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return startReply{Life: k.life, New: !k.opened && !k.used, Cleared: slices.Contains(k.clearedLives, message.Life)}
+	return startReply{Life: k.processID, New: !k.tableComplete && !k.peerHasGranted, Cleared: slices.Contains(k.clearedProcesses, message.Life)}
 }
 
-// tend does what is due: it notes changed homes, forgets what has expired, and ends the time of abstaining.
-func (k *keeper) tend() {
+// maintain records changed keeper sets, removes expired entries and stops abstaining once the retention time has passed.
+func (k *keeper) maintain() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.now()
 	view := k.source.Current()
-	k.observeAll(now, view)
-	k.persist(write{changes: k.register.Sweep(now, func(pool string) bool {
+	k.recordKeeperSets(now, view)
+	k.persist(write{changes: k.table.Sweep(now, func(pool string) bool {
 		return view.Revision == 0 || view.Permitted(pool, k.self.Zone)
 	})})
-	if !k.opened && now.Sub(k.started) >= k.limits.Retention {
-		k.open(nil)
+	if !k.tableComplete && now.Sub(k.started) >= k.limits.Retention {
+		k.markTableComplete(nil)
 	}
 }
 
-// open ends the time of abstaining. Holds the lock. Grants that follow are written behind the mark, so that a keeper
-// that has granted is never taken for new.
-func (k *keeper) open(lives []string) {
-	k.opened = true
-	k.clearedLives = lives
-	k.persist(write{opened: true})
+// markTableComplete stops abstaining. The mark is persisted before any later grant, so that a keeper that has granted
+// never appears new. The caller holds the lock.
+func (k *keeper) markTableComplete(processIDs []string) {
+	k.tableComplete = true
+	k.clearedProcesses = processIDs
+	k.persist(write{tableComplete: true})
 }
 
-// clear opens the keeper if it still abstains.
-func (k *keeper) clear(lives []string) {
+// completeBootstrap calls markTableComplete if the keeper still abstains.
+func (k *keeper) completeBootstrap(processIDs []string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if !k.opened {
-		k.open(lives)
+	if !k.tableComplete {
+		k.markTableComplete(processIDs)
 	}
 }
 
-// noteUsed takes note that another keeper is not new, so that this one is not taken for new either, should the others lose
-// their tables in turn. It reports whether that is news.
-func (k *keeper) noteUsed() bool {
+// recordPeerGrants persists that a peer has earlier grants, so that this keeper does not appear new if the peers later
+// lose their tables. It reports whether this is the first such record.
+func (k *keeper) recordPeerGrants() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.used {
+	if k.peerHasGranted {
 		return false
 	}
-	k.used = true
-	k.persist(write{used: true})
+	k.peerHasGranted = true
+	k.persist(write{peerHasGranted: true})
 	return true
 }
 
-func (k *keeper) isUsed() bool {
+func (k *keeper) knowsPeerGrants() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.used
+	return k.peerHasGranted
 }
 
-func (k *keeper) isOpen() bool {
+func (k *keeper) isTableComplete() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.opened
+	return k.tableComplete
 }
 
-// peers returns the other keepers of every home that this keeper is in. It is not eligible for a first start if it is
-// in none, or if a majority of one of them has no disk: nodes without a disk do not know whether they granted before.
-func (k *keeper) peers() (others []cluster.Node, eligible bool) {
+// bootstrapPeers returns the other members of every keeper set that contains this keeper. It is not eligible for
+// bootstrap if there is no such set, or if nodes without a disk, which lose their grants on restart, can form a majority
+// of one.
+func (k *keeper) bootstrapPeers() (others []cluster.Node, eligible bool) {
 	view := k.source.Current()
 	if !view.Serving {
 		return nil, false
 	}
 	found := make(map[string]cluster.Node)
 	for pool := range view.Pools {
-		members := home(view, pool, k.seeds)
+		members := keeperSet(view, pool, k.seeds)
 		if !slices.ContainsFunc(members, k.isSelf) {
 			continue
 		}
@@ -227,38 +229,38 @@
 	return diskless < allGuards.majority(len(members))
 }
 
-// observeAll notes the homes of all pools, also of those that are gone. Holds the lock.
-func (k *keeper) observeAll(now time.Time, view *cluster.View) {
+// recordKeeperSets records the keeper sets of all pools, including deleted ones. The caller holds the lock.
+func (k *keeper) recordKeeperSets(now time.Time, view *cluster.View) {
 	if !view.Serving {
 		return
 	}
 	for pool := range view.Pools {
-		k.observe(now, pool, names(home(view, pool, k.seeds)))
+		k.recordKeeperSet(now, pool, names(keeperSet(view, pool, k.seeds)))
 	}
 	for pool := range k.history {
 		if _, ok := view.Pools[pool]; !ok {
-			k.observe(now, pool, nil)
+			k.recordKeeperSet(now, pool, nil)
 		}
 	}
 }
 
-// observe notes a pool's home. Holds the lock.
-func (k *keeper) observe(now time.Time, pool string, members []string) {
-	if k.history.observe(now, pool, members, k.limits.Retention+homeMargin) {
+// recordKeeperSet records a pool's keeper set. The caller holds the lock.
+func (k *keeper) recordKeeperSet(now time.Time, pool string, members []string) {
+	if k.history.record(now, pool, members, k.limits.Retention+keeperSetMargin) {
 		k.persist(write{history: k.history.clone()})
 	}
 }
 
-// persist hands a write to the file, behind all earlier ones. Holds the lock, which gives the order.
+// persist enqueues a write and returns nil if there is nothing to write. The caller holds the lock, which orders writes.
 func (k *keeper) persist(w write) <-chan error {
-	if k.store == nil || (len(w.changes) == 0 && w.history == nil && !w.opened && !w.used) {
+	if k.store == nil || (len(w.changes) == 0 && w.history == nil && !w.tableComplete && !w.peerHasGranted) {
 		return nil
 	}
 	return k.store.enqueue(w)
 }
 
-// await waits for a write; nil means that there is none.
-func await(durable <-chan error) error {
+// awaitWrite returns the result of a write; a nil channel means that there is none.
+func awaitWrite(durable <-chan error) error {
 	if durable == nil {
 		return nil
 	}
--- a/internal/claims/metrics.go
+++ b/internal/claims/metrics.go
@@ -8,7 +8,7 @@
 	"github.com/covelink/covelink/internal/gateway"
 )
 
-// The values of the label result.
+// The values of the metric label result.
 const (
 	resultLabelGranted  = "granted"
 	resultLabelExisting = "existing"
@@ -37,12 +37,12 @@
 	if registerer != nil {
 		registerer.MustRegister(m.claims, m.seconds, m.verdicts, m.renewFailures,
 			tableGauge("covelink_claims_table_entries", "Claims and tombstones that this keeper holds.", k,
-				func() float64 { return float64(k.register.Entries()) }),
+				func() float64 { return float64(k.table.Entries()) }),
 			tableGauge("covelink_claims_answer_bytes", "Size of the answers that this keeper holds.", k,
-				func() float64 { return float64(k.register.AnswerBytes()) }),
+				func() float64 { return float64(k.table.AnswerBytes()) }),
 			tableGauge("covelink_claims_abstaining", "1 while this keeper grants nothing because it may have forgotten claims.", k,
 				func() float64 {
-					if k.opened {
+					if k.tableComplete {
 						return 0
 					}
 					return 1
@@ -51,7 +51,7 @@
 	return m
 }
 
-// tableGauge reads the keeper under its lock.
+// tableGauge returns a gauge that calls read with the keeper locked.
 func tableGauge(name, help string, k *keeper, read func() float64) prometheus.Collector {
 	return prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help}, func() float64 {
 		k.mu.Lock()
--- a/internal/claims/world_test.go
+++ b/internal/claims/simulation_test.go
@@ -18,16 +18,16 @@
 
 var modelKey = Key{Caller: "app", Pool: testPool, Key: "k"}
 
-// faults says what a schedule breaks beside the guards of the keepers.
+// faults configures a schedule.
 type faults struct {
 	guards guards
-	// sendBeforeClaim lets a claimant run before it is granted.
+	// sendBeforeClaim lets a claimant run before its claim is granted.
 	sendBeforeClaim bool
-	// long lets the clock pass the retention time.
-	long bool
+	// exceedsRetention lets a schedule exceed the retention time.
+	exceedsRetention bool
 }
 
-// packet is a message on its way to a keeper, or a reply on its way back.
+// packet is a request or a reply in flight.
 type packet struct {
 	to       int
 	sent     time.Time
@@ -38,22 +38,22 @@
 	reply    *claimReply
 }
 
-// modelClaimant is one gateway's attempt.
+// modelClaimant is a claim attempt of one gateway.
 type modelClaimant struct {
 	id      string
-	votes   *tally
+	votes   *voteCounter
 	started time.Time
-	heard   map[int]bool
+	replied map[int]bool
 	decided bool
-	// ran tells that a byte may have reached an engine; over that the run has ended or its gateway has died.
+	// ran: a byte may have reached an engine. ended: the run ended or its gateway failed.
 	ran      bool
-	over     bool
+	ended    bool
 	released bool
 	call     int64
 }
 
-// world is several keepers and claimants of one key, with a network that loses, repeats, delays and reorders.
-type world struct {
+// simulation models keepers and claimants of one key on a network that loses, repeats, delays and reorders messages.
+type simulation struct {
 	pick      func(n int) int
 	faults    faults
 	clock     *fakeClock
@@ -68,8 +68,8 @@
 	violation string
 }
 
-func newWorld(pick func(n int) int, broken faults) *world {
-	w := &world{pick: pick, faults: broken, clock: newClock(), source: cluster.NewHolder()}
+func newSimulation(pick func(n int) int, injected faults) *simulation {
+	w := &simulation{pick: pick, faults: injected, clock: newClock(), source: cluster.NewHolder()}
 	w.source.Update(func(*cluster.View) *cluster.View { return viewOf("zone-1") })
 	count := 2 + pick(4)
 	for index := range count {
@@ -77,22 +77,22 @@
 	}
 	for index := range count {
 		w.keepers = append(w.keepers, w.newKeeper(index))
-		w.keepers[index].opened = true
+		w.keepers[index].tableComplete = true
 	}
 	w.down = make([]bool, count)
 	return w
 }
 
-func (w *world) newKeeper(index int) *keeper {
+func (w *simulation) newKeeper(index int) *keeper {
 	limits := Limits{Retention: modelRetention, MaxEntries: 1000, MaxAnswerBytes: 1 << 20}
-	register := NewRegister(limits)
-	register.guards = w.faults.guards
+	table := NewTable(limits)
+	table.guards = w.faults.guards
 	return &keeper{self: w.seeds[index], source: w.source, seeds: w.seeds, limits: limits, guards: w.faults.guards,
-		now: w.clock.Now, register: register, history: make(homeHistory), started: w.clock.Now()}
+		now: w.clock.Now, table: table, history: make(keeperSetHistory), started: w.clock.Now()}
 }
 
-// run takes random steps until the end or a violation.
-func (w *world) run() {
+// run takes modelSteps random steps, or stops at a violation.
+func (w *simulation) run() {
 	for range modelSteps {
 		w.tick++
 		w.step()
@@ -100,10 +100,10 @@
 			return
 		}
 	}
-	w.settle()
+	w.deliverAll()
 }
 
-func (w *world) step() {
+func (w *simulation) step() {
 	switch w.pick(14) {
 	case 0:
 		w.startClaimant()
@@ -114,33 +114,33 @@
 	case 4:
 		w.recover()
 	case 5:
-		w.passTime()
+		w.advanceTime()
 	case 6:
-		w.lose()
+		w.dropPacket()
 	default:
 		w.deliver(w.pick(4) == 0)
 	}
 	w.expire()
 }
 
-func (w *world) startClaimant() {
+func (w *simulation) startClaimant() {
 	if len(w.claimants) >= 8 {
 		return
 	}
-	c := &modelClaimant{id: fmt.Sprint("claim-", len(w.claimants)), started: w.clock.Now(), heard: make(map[int]bool), call: w.tick}
-	c.votes = newTally(len(w.keepers), w.faults.guards)
+	c := &modelClaimant{id: fmt.Sprint("claim-", len(w.claimants)), started: w.clock.Now(), replied: make(map[int]bool), call: w.tick}
+	c.votes = newVoteCounter(len(w.keepers), w.faults.guards)
 	w.claimants = append(w.claimants, c)
 	if w.faults.sendBeforeClaim {
-		w.execute(c)
+		w.markRan(c)
 	}
-	message := &claimMessage{Key: modelKey, ID: c.id, Members: names(home(w.source.Current(), testPool, w.seeds))}
+	message := &claimMessage{Key: modelKey, ID: c.id, Members: names(keeperSet(w.source.Current(), testPool, w.seeds))}
 	for index := range w.keepers {
 		w.packets = append(w.packets, packet{to: index, sent: w.clock.Now(), claim: message, claimant: c})
 	}
 }
 
-// execute notes that a claim runs and checks that no other one ran within the retention time.
-func (w *world) execute(c *modelClaimant) {
+// markRan marks a claim as run and records a violation if another one ran within the retention time.
+func (w *simulation) markRan(c *modelClaimant) {
 	for _, other := range w.claimants {
 		if other != c && other.ran && c.started.Sub(other.started) < modelRetention-modelWindow {
 			w.violation = fmt.Sprintf("%s and %s both ran", other.id, c.id)
@@ -149,8 +149,8 @@
 	c.ran = true
 }
 
-// deliver hands a random packet over; again tells that it stays on its way.
-func (w *world) deliver(again bool) {
+// deliver delivers a random packet; with again it stays in flight, to be delivered once more.
+func (w *simulation) deliver(again bool) {
 	if len(w.packets) == 0 {
 		return
 	}
@@ -165,41 +165,41 @@
 	w.handle(p)
 }
 
-func (w *world) handle(p packet) {
+func (w *simulation) handle(p packet) {
 	switch {
 	case p.reply != nil:
-		w.answered(p)
+		w.handleReply(p)
 	case p.claim != nil:
 		reply := w.keepers[p.to].claim(*p.claim, "zone-1")
 		w.packets = append(w.packets, packet{to: p.to, sent: w.clock.Now(), reply: &reply, claimant: p.claimant})
 	case p.learn != nil:
-		w.keepers[p.to].learn(*p.learn, "zone-1")
+		w.keepers[p.to].update(*p.learn, "zone-1")
 	case p.release != nil:
 		w.keepers[p.to].release(*p.release)
 	}
 }
 
-func (w *world) answered(p packet) {
+func (w *simulation) handleReply(p packet) {
 	c := p.claimant
-	if c.decided || c.heard[p.to] {
+	if c.decided || c.replied[p.to] {
 		return
 	}
-	c.heard[p.to] = true
+	c.replied[p.to] = true
 	c.votes.add(*p.reply, false)
 	w.decide(c)
 }
 
-// decide acts on the votes as Manager does.
-func (w *world) decide(c *modelClaimant) {
+// decide acts on the vote as Manager does.
+func (w *simulation) decide(c *modelClaimant) {
 	outcome := c.votes.result()
 	if outcome == resultOpen {
 		return
 	}
 	c.decided = true
-	w.note(c.call, w.tick, modelInput{kind: inputClaim, id: c.id}, modelOutput{result: outcome, holder: c.votes.seen.ID,
-		text: textOf(c.votes.seen.Stored.Answer)})
+	w.recordOperation(c.call, w.tick, modelInput{kind: inputClaim, id: c.id}, modelOutput{result: outcome, holder: c.votes.existingRecord.ID,
+		text: textOf(c.votes.existingRecord.Stored.Answer)})
 	if outcome == resultGranted {
-		w.execute(c)
+		w.markRan(c)
 		return
 	}
 	w.release(c)
@@ -212,45 +212,45 @@
 	return answer.Tokens[0]
 }
 
-// finishOne ends a granted claim: completed, not run, or its gateway dies.
-func (w *world) finishOne() {
+// finishOne ends a granted claim: completed, not run, or its gateway fails.
+func (w *simulation) finishOne() {
 	if len(w.claimants) == 0 {
 		return
 	}
 	c := w.claimants[w.pick(len(w.claimants))]
-	if !c.decided || !c.ran || c.over {
+	if !c.decided || !c.ran || c.ended {
 		return
 	}
-	c.over = true
+	c.ended = true
 	switch w.pick(3) {
 	case 0:
 		c.ran = false
-		w.note(w.tick, modelEnd, modelInput{kind: inputRelease, id: c.id}, modelOutput{})
+		w.recordOperation(w.tick, modelEnd, modelInput{kind: inputRelease, id: c.id}, modelOutput{})
 		w.release(c)
 	case 1:
 		record := Record{ID: c.id, State: StateFinished, Stored: completedWith("answer of " + c.id)}
-		w.note(w.tick, modelEnd, modelInput{kind: inputFinish, id: c.id}, modelOutput{})
-		w.tell(packet{learn: &learnMessage{Key: modelKey, Record: record}})
+		w.recordOperation(w.tick, modelEnd, modelInput{kind: inputFinish, id: c.id}, modelOutput{})
+		w.sendToKeepers(packet{learn: &learnMessage{Key: modelKey, Record: record}})
 	}
 }
 
-func (w *world) release(c *modelClaimant) {
+func (w *simulation) release(c *modelClaimant) {
 	c.released = true
-	w.tell(packet{release: &releaseMessage{Key: modelKey, ID: c.id}})
+	w.sendToKeepers(packet{release: &releaseMessage{Key: modelKey, ID: c.id}})
 }
 
-func (w *world) tell(p packet) {
+func (w *simulation) sendToKeepers(p packet) {
 	for index := range w.keepers {
 		p.to, p.sent = index, w.clock.Now()
 		w.packets = append(w.packets, p)
 	}
 }
 
-// crash ends a keeper; with an empty restart to come if it has no disk.
-func (w *world) crash() { w.down[w.pick(len(w.keepers))] = true }
+// crash stops a keeper.
+func (w *simulation) crash() { w.down[w.pick(len(w.keepers))] = true }
 
-// recover starts a keeper that is down, with its table or without.
-func (w *world) recover() {
+// recover restarts a stopped keeper, with or without its table.
+func (w *simulation) recover() {
 	index := w.pick(len(w.keepers))
 	if !w.down[index] {
 		return
@@ -261,21 +261,21 @@
 	}
 }
 
-func (w *world) passTime() {
+func (w *simulation) advanceTime() {
 	by := modelWindow / 8
-	if w.faults.long {
+	if w.faults.exceedsRetention {
 		by = modelRetention / time.Duration(2+w.pick(20))
 	}
 	w.clock.advance(by)
 	for index, k := range w.keepers {
 		if !w.down[index] {
-			k.tend()
+			k.maintain()
 		}
 	}
 }
 
-// lose drops a packet. Releases are repeated until they arrive, so they are not lost.
-func (w *world) lose() {
+// dropPacket drops a random packet unless it is a release, since releases are retried until they arrive.
+func (w *simulation) dropPacket() {
 	if len(w.packets) == 0 {
 		return
 	}
@@ -285,26 +285,26 @@
 	}
 }
 
-// expire ends the claims whose window is over and drops packets as old as the retention time.
-func (w *world) expire() {
+// expire closes the votes whose claim window has ended and drops packets close to the retention time.
+func (w *simulation) expire() {
 	now := w.clock.Now()
 	for _, c := range w.claimants {
 		if !c.decided && now.Sub(c.started) >= modelWindow {
-			c.votes.end()
+			c.votes.closeVoting()
 			w.decide(c)
 		}
 	}
-	var young []packet
+	var remaining []packet
 	for _, p := range w.packets {
 		if now.Sub(p.sent) < modelRetention-modelWindow {
-			young = append(young, p)
+			remaining = append(remaining, p)
 		}
 	}
-	w.packets = young
+	w.packets = remaining
 }
 
-// settle lets everything arrive. If nothing ran, the key must be free at every keeper.
-func (w *world) settle() {
+// deliverAll delivers all packets. If every claim was released and none ran, the key must be free at every keeper.
+func (w *simulation) deliverAll() {
 	for index := range w.down {
 		w.down[index] = false
 	}
@@ -317,12 +317,12 @@
 			return
 		}
 	}
-	if w.faults.long {
-		return // a keeper that was down for so long has missed the release
+	if w.faults.exceedsRetention {
+		return // a release may have expired while its keeper was down
 	}
 	for _, k := range w.keepers {
-		if _, held := k.register.lookup(w.clock.Now(), modelKey); held && w.violation == "" {
-			w.violation = "every claim was released and a keeper still holds one"
+		if _, held := k.table.lookup(w.clock.Now(), modelKey); held && w.violation == "" {
+			w.violation = "every claim was released, but a keeper still holds one"
 		}
 	}
 }
--- a/internal/claims/store_test.go
+++ b/internal/claims/store_test.go
@@ -15,18 +15,18 @@
 )
 
 func TestStore(t *testing.T) {
-	Convey("A file gives back what was written before its close", t, func() {
+	Convey("A reopened file returns the committed writes", t, func() {
 		folder := t.TempDir()
 		s, content, err := openStore(folder)
 		So(err, ShouldBeNil)
-		So(content.opened, ShouldBeFalse)
+		So(content.tableComplete, ShouldBeFalse)
 		until := time.Unix(50, 0).UTC()
-		kept := heldRecord("a", 3)
+		kept := runningRecord("a", 3)
 		kept.Expires = until
 		gone := Key{Key: "gone"}
-		history := homeHistory{testPool: {{Members: []string{"n"}}}}
+		history := keeperSetHistory{testPool: {{Members: []string{"n"}}}}
 		steps := []write{
-			{changes: []change{{key: modelKey, record: &kept}, {key: gone, record: &kept}}, opened: true},
+			{changes: []change{{key: modelKey, record: &kept}, {key: gone, record: &kept}}, tableComplete: true},
 			{changes: []change{{key: gone}, {tombstone: "b", until: until}}, history: history},
 			{changes: []change{{tombstone: "c", until: until}, {tombstone: "c"}}},
 		}
@@ -34,11 +34,11 @@
 			So(<-s.enqueue(step), ShouldBeNil)
 		}
 		So(s.close(), ShouldBeNil)
-		So(<-s.enqueue(write{opened: true}), ShouldEqual, errStoreClosed)
+		So(<-s.enqueue(write{tableComplete: true}), ShouldEqual, errStoreClosed)
 
 		s, content, err = openStore(folder)
 		So(err, ShouldBeNil)
-		So(content.opened, ShouldBeTrue)
+		So(content.tableComplete, ShouldBeTrue)
 		So(content.history, ShouldResemble, history)
 		So(len(content.changes), ShouldEqual, 2)
 		So(content.changes[0].key, ShouldResemble, modelKey)
@@ -52,7 +52,7 @@
 			So(db.Update(change), ShouldBeNil)
 			So(db.Close(), ShouldBeNil)
 		}
-		Convey("an entry whose checksum does not hold is found, and the file is set aside", func() {
+		Convey("an entry with a wrong checksum is detected and the file is renamed", func() {
 			damage(func(tx *bolt.Tx) error {
 				bucket := tx.Bucket(bucketRecords)
 				value := append([]byte(nil), bucket.Get(diskKey(modelKey))...)
@@ -63,18 +63,18 @@
 			So(errors.Is(err, ErrCorrupt), ShouldBeTrue)
 			manager, err := New(Params{DataDir: folder, Source: cluster.NewHolder()})
 			So(err, ShouldBeNil)
-			So(manager.keeper.isOpen(), ShouldBeFalse)
+			So(manager.keeper.isTableComplete(), ShouldBeFalse)
 			So(manager.close(), ShouldBeNil)
 			files, err := os.ReadDir(folder)
 			So(err, ShouldBeNil)
 			So(len(files), ShouldEqual, 2)
 		})
-		Convey("a file of another format is refused", func() {
+		Convey("a file of an unsupported format version is refused", func() {
 			damage(func(tx *bolt.Tx) error { return tx.Bucket(bucketMeta).Put(keyFormat, []byte{storeFormat + 1}) })
 			_, err := New(Params{DataDir: folder, Source: cluster.NewHolder()})
 			So(errors.Is(err, ErrFormat), ShouldBeTrue)
 		})
-		Convey("a file that is not one of ours is set aside", func() {
+		Convey("a file that is not a bbolt database is reported as corrupt", func() {
 			So(os.WriteFile(filepath.Join(folder, storeFile), make([]byte, 1<<16), 0o600), ShouldBeNil)
 			_, _, err := openStore(folder)
 			So(errors.Is(err, ErrCorrupt), ShouldBeTrue)
@@ -82,12 +82,12 @@
 	})
 }
 
-func TestBounds(t *testing.T) {
-	Convey("Answers beyond the bound are dropped, oldest first, and their outcomes stay", t, func() {
+func TestAnswerEviction(t *testing.T) {
+	Convey("Answers beyond MaxAnswerBytes are evicted, oldest first, and their outcomes stay", t, func() {
 		now := time.Unix(1, 0)
-		r := NewRegister(Limits{Retention: time.Minute, MaxEntries: 10, MaxAnswerBytes: 400})
+		r := NewTable(Limits{Retention: time.Minute, MaxEntries: 10, MaxAnswerBytes: 400})
 		for _, id := range []string{"a", "b", "c"} {
-			r.Learn(now, Key{Key: id}, Record{ID: id, State: StateFinished, Stored: completedWith("text")})
+			r.Update(now, Key{Key: id}, Record{ID: id, State: StateFinished, Stored: completedWith("text")})
 		}
 		So(r.AnswerBytes(), ShouldBeLessThanOrEqualTo, 400)
 		oldest, _ := r.lookup(now, Key{Key: "a"})
--- a/internal/claims/register.go
+++ b/internal/claims/table.go
@@ -7,92 +7,92 @@
 	"github.com/covelink/covelink/internal/gateway"
 )
 
-// Key identifies a request at every gateway.
+// Key identifies a request across gateways.
 type Key struct {
 	Caller string
 	Pool   string
 	Key    string
 }
 
-// State is what became of a claim at one keeper.
+// State is the state of a claim at one keeper.
 type State int
 
 // The states. A released claim has no record, only a tombstone.
 const (
-	// StateClaimed: the request may be running, or its holder is gone.
+	// StateClaimed: the request may be running, or its gateway failed.
 	StateClaimed State = iota + 1
 	// StateFinished: Stored is final.
 	StateFinished
 )
 
-// Record is one keeper's knowledge of a key.
+// Record is the entry of a key in one keeper's table.
 type Record struct {
-	// ID is the claim that holds the key.
+	// ID identifies the claim that holds the key.
 	ID          string
 	State       State
 	Fingerprint uint64
 	Stored      gateway.StoredOutcome
-	// Expires is when the record is forgotten.
+	// Expires is when the record is removed.
 	Expires time.Time
 }
 
-// heldRecord returns the record of a claim that may be running.
-func heldRecord(id string, fingerprint uint64) Record {
+// runningRecord returns the record of a claim that may be running.
+func runningRecord(id string, fingerprint uint64) Record {
 	unknown := gateway.StoredOutcome{Outcome: v1.OutcomeUnknown}
 	return Record{ID: id, State: StateClaimed, Fingerprint: fingerprint, Stored: unknown}
 }
 
-// Decision is a keeper's answer to a claim.
+// Decision is the result of Table.Claim.
 type Decision int
 
 // The decisions.
 const (
-	// DecisionGranted: this keeper holds the key for the claim.
+	// DecisionGranted: the claim holds the key at this keeper.
 	DecisionGranted Decision = iota + 1
-	// DecisionExisting: another claim has the key.
+	// DecisionExisting: another claim holds the key, or this one is finished.
 	DecisionExisting
 	// DecisionReleased: the claim was released before.
 	DecisionReleased
-	// DecisionFull: the table has no room.
+	// DecisionFull: the table is full.
 	DecisionFull
 )
 
-// change is one step that a Register has taken, as a store must repeat it.
+// change is one mutation of a Table, to be persisted by a store.
 type change struct {
 	key Key
-	// record is what the key now has; nil removes it.
+	// record is the new record of key; nil removes it.
 	record *Record
-	// tombstone is the ID of a released claim; empty if the change is about key.
+	// tombstone is the ID of a released claim; empty if the change applies to key.
 	tombstone string
-	// until is when the tombstone is forgotten; zero removes it.
+	// until is when the tombstone expires; zero removes it.
 	until time.Time
 }
 
-// Limits bounds a Register.
+// Limits are the limits of a Table.
 type Limits struct {
 	// Retention is how long a record or tombstone is kept after its last change.
 	Retention time.Duration
 	// MaxEntries bounds records and tombstones together.
 	MaxEntries int
-	// MaxAnswerBytes bounds the kept answers. The oldest are dropped first; their outcomes stay.
+	// MaxAnswerBytes bounds the stored answers. The oldest are evicted first; their outcomes stay.
 	MaxAnswerBytes int64
 }
 
-// Register is one keeper's table of claims. It is a state machine: it reads no clock and does no I/O.
-// It is not safe for concurrent use.
-type Register struct {
+// Table is the claim table of one keeper: a deterministic state machine that reads no clock and does no I/O. It is
+// not safe for concurrent use.
+type Table struct {
 	limits     Limits
 	guards     guards
 	records    map[Key]*Record
 	tombstones map[string]time.Time
-	// answers lists the keys with an answer, oldest first; a key may stand in it for an answer dropped since.
+	// answers lists the keys with an answer, oldest first. It may include keys whose answer has been removed.
 	answers     []Key
 	answerBytes int64
 }
 
-// NewRegister returns an empty Register.
-func NewRegister(limits Limits) *Register {
-	return &Register{
+// NewTable returns an empty Table.
+func NewTable(limits Limits) *Table {
+	return &Table{
 		limits:     limits,
 		guards:     allGuards,
 		records:    make(map[Key]*Record),
@@ -101,15 +101,15 @@
 }
 
 // Entries returns the number of records and tombstones.
-func (r *Register) Entries() int { return len(r.records) + len(r.tombstones) }
+func (r *Table) Entries() int { return len(r.records) + len(r.tombstones) }
 
-// AnswerBytes returns the size of the kept answers.
-func (r *Register) AnswerBytes() int64 { return r.answerBytes }
+// AnswerBytes returns the approximate size of the stored answers in bytes.
+func (r *Table) AnswerBytes() int64 { return r.answerBytes }
 
-// Claim takes the key for the claim ID unless another claim has it. The record is what the key has afterwards.
-// A claim that is repeated by its holder is granted again.
-func (r *Register) Claim(now time.Time, key Key, id string, fingerprint uint64) (Decision, Record, []change) {
-	if r.buried(now, id) {
+// Claim grants the key to the claim ID unless another claim holds it, and returns the resulting record of the key.
+// A retry by the holder of an unfinished claim is granted again.
+func (r *Table) Claim(now time.Time, key Key, id string, fingerprint uint64) (Decision, Record, []change) {
+	if r.isReleased(now, id) {
 		return DecisionReleased, Record{}, nil
 	}
 	if held, ok := r.lookup(now, key); ok {
@@ -121,19 +121,16 @@
 	if r.Entries() >= r.limits.MaxEntries {
 		return DecisionFull, Record{}, nil
 	}
-	record := heldRecord(id, fingerprint)
+	record := runningRecord(id, fingerprint)
 	record.Expires = now.Add(r.limits.Retention)
 	return DecisionGranted, record, []change{r.put(key, record)}
 }
 
-// Learn notes what the holder of a granted claim states: that it still runs, or its final outcome. It reports whether
-// the statement is noted or needs no more.
-//
-// A final outcome takes the place of another claim that is not finished: that one can have a minority only. A statement
-// that the claim still runs does not, since it may be late: the claim may have been released elsewhere, and the other
-// one granted. A finished claim stays as it is, and a released one stays released.
-func (r *Register) Learn(now time.Time, key Key, stated Record) (bool, []change) {
-	if r.buried(now, stated.ID) {
+// Update applies a renewal or the final outcome of a granted claim. It returns false if the table is full. Finished and
+// released claims stay as they are. A final outcome replaces another unfinished claim, which has only a minority; a
+// renewal does not, as it may be delayed and the other claim granted since.
+func (r *Table) Update(now time.Time, key Key, stated Record) (bool, []change) {
+	if r.isReleased(now, stated.ID) {
 		return true, nil
 	}
 	held, ok := r.lookup(now, key)
@@ -148,12 +145,12 @@
 	}
 	stated.Expires = now.Add(r.limits.Retention)
 	changes := []change{r.put(key, stated)}
-	return true, append(changes, r.trimAnswers()...)
+	return true, append(changes, r.evictAnswers()...)
 }
 
-// Release gives the key up if the claim ID holds it unfinished, and refuses the claim from then on. It reports whether
-// the claim can no longer be granted here.
-func (r *Register) Release(now time.Time, key Key, id string) (bool, []change) {
+// Release removes an unfinished claim and records a tombstone that rejects delayed messages of it. It returns false if
+// the table has no room for the tombstone.
+func (r *Table) Release(now time.Time, key Key, id string) (bool, []change) {
 	var changes []change
 	if held, ok := r.lookup(now, key); ok && held.ID == id {
 		if held.State == StateFinished {
@@ -173,8 +170,8 @@
 	return true, append(changes, change{tombstone: id, until: until})
 }
 
-// Sweep forgets what has expired, and the answers of pools that are not to be kept here.
-func (r *Register) Sweep(now time.Time, keep func(pool string) bool) []change {
+// Sweep removes expired entries, and the answers of pools for which keep returns false.
+func (r *Table) Sweep(now time.Time, keep func(pool string) bool) []change {
 	var changes []change
 	for key, record := range r.records {
 		switch {
@@ -194,8 +191,8 @@
 	return changes
 }
 
-// restore repeats a change read from a store.
-func (r *Register) restore(c change) {
+// restore applies a change read from a store.
+func (r *Table) restore(c change) {
 	if c.tombstone != "" {
 		r.tombstones[c.tombstone] = c.until
 		return
@@ -203,12 +200,12 @@
 	r.put(c.key, *c.record)
 }
 
-func (r *Register) buried(now time.Time, id string) bool {
+func (r *Table) isReleased(now time.Time, id string) bool {
 	until, ok := r.tombstones[id]
 	return ok && now.Before(until)
 }
 
-func (r *Register) lookup(now time.Time, key Key) (*Record, bool) {
+func (r *Table) lookup(now time.Time, key Key) (*Record, bool) {
 	record, ok := r.records[key]
 	if !ok || !now.Before(record.Expires) {
 		return nil, false
@@ -216,7 +213,7 @@
 	return record, true
 }
 
-func (r *Register) put(key Key, record Record) change {
+func (r *Table) put(key Key, record Record) change {
 	r.remove(key)
 	kept := record
 	r.records[key] = &kept
@@ -227,22 +224,22 @@
 	return change{key: key, record: &record}
 }
 
-func (r *Register) remove(key Key) {
+func (r *Table) remove(key Key) {
 	if record, ok := r.records[key]; ok {
 		r.answerBytes -= answerSize(record.Stored.Answer)
 		delete(r.records, key)
 	}
 }
 
-// dropAnswer keeps the outcome without its answer. Records are never changed in place, since a store may be writing one.
-func (r *Register) dropAnswer(key Key, record *Record) change {
+// dropAnswer removes the answer and keeps the outcome. It replaces the record, since a store may be reading the old one.
+func (r *Table) dropAnswer(key Key, record *Record) change {
 	bare := *record
 	bare.Stored.Answer = nil
 	return r.put(key, bare)
 }
 
-// trimAnswers drops the oldest answers until the rest fits.
-func (r *Register) trimAnswers() []change {
+// evictAnswers evicts the oldest answers until MaxAnswerBytes is met.
+func (r *Table) evictAnswers() []change {
 	var changes []change
 	for r.answerBytes > r.limits.MaxAnswerBytes && len(r.answers) > 0 {
 		key := r.answers[0]
@@ -255,13 +252,13 @@
 }
 
 const (
-	// answerOverhead and segmentBytes approximate the memory of an answer beside its text.
+	// Approximate memory of an answer in addition to its text: per answer, per segment and per token.
 	answerOverhead = 128
 	segmentBytes   = 64
 	tokenOverhead  = 16
 )
 
-// answerSize approximates the memory of an answer.
+// answerSize returns the approximate memory use of an answer in bytes.
 func answerSize(answer *gateway.StoredAnswer) int64 {
 	if answer == nil {
 		return 0
